--- a/crates/hatchpitch/src/admission/gate.rs
+++ b/crates/hatchpitch/src/admission/gate.rs
@@ -1,4 +1,4 @@
-//! Lets requests onto the runners of one pool: a [`Line`] with a channel for each that waits.
+//! Lets requests onto the runners of one pool: a [`PoolScheduler`] with a channel for each that waits.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 use hatchpitch_net::clock;
 
 use super::state::{AdmissionConfig, Ticket};
-use crate::dispatch::{Answer, Decision, Line, Quote, Refusal, Want};
+use crate::dispatch::{Answer, Decision, PoolScheduler, Quote, Refusal, SlotRequest};
 use crate::ids::AttemptId;
 use crate::routing::state::RunnerSpec;
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
@@ -26,7 +26,7 @@
 type Slot = Result<RunnerSpec, Refusal>;
 
 struct Inner {
-    line: Line,
+    line: PoolScheduler,
     /// Whether a task lets in who waits as engines get prompts read.
     pumped: bool,
     waiting: HashMap<Ticket, oneshot::Sender<Slot>>,
@@ -44,7 +44,7 @@
                     None => Some(slot),
                 };
                 if let Some(Ok(spec)) = unsent {
-                    self.line.give_up(&spec.name, &id, now);
+                    self.line.release_abandoned(&spec.name, &id, now);
                 }
             }
             answers = self.line.take_answers();
@@ -59,7 +59,7 @@
 impl Gate {
     /// Creates a gate without runners, that keeps to the limits and rests that the whole box knows.
     pub fn new(admission: AdmissionConfig, routing: RoutingConfig, signals: SharedSignals) -> Self {
-        let line = Line::new(admission, routing).sharing(signals);
+        let line = PoolScheduler::new(admission, routing).with_signals(signals);
         Self(Rc::new(RefCell::new(Inner { line, pumped: false, waiting: HashMap::new() })))
     }
 
@@ -68,14 +68,14 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if no runner takes work; `Ok(None)` means that the request would wait.
-    pub fn try_admit(&self, want: &Want) -> Result<Option<Permit>, Refusal> {
+    pub fn try_admit(&self, want: &SlotRequest) -> Result<Option<Permit>, Refusal> {
         let cost = self.cost(want);
         let placed = self.change(|line, now| line.place(want, now))?;
         Ok(placed.map(|spec| self.permit(spec, want.clone(), cost)))
     }
 
     /// Counts a slot that another owner granted so long ago, if the engine is one of this gate's.
-    pub fn adopt(&self, runner: &str, want: Want, age: Duration) -> Option<Permit> {
+    pub fn adopt(&self, runner: &str, want: SlotRequest, age: Duration) -> Option<Permit> {
         let cost = self.cost(&want);
         let spec = self
             .change(|line, now| line.adopt(runner, &want, now.checked_sub(age).unwrap_or(now)))?;
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if no runner takes work.
-    pub fn quote(&self, want: &Want) -> Result<Quote, Refusal> {
+    pub fn quote(&self, want: &SlotRequest) -> Result<Quote, Refusal> {
         self.0.borrow().line.quote(want, clock::now())
     }
 
@@ -96,7 +96,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] as soon as the request is given up on.
-    pub async fn admit(&self, want: Want) -> Result<Permit, Refusal> {
+    pub async fn admit(&self, want: SlotRequest) -> Result<Permit, Refusal> {
         let cost = self.cost(&want);
         let ticket = match self.change(|line, now| line.decide(&want, now)) {
             Decision::Run(spec) => return Ok(self.permit(spec, want, cost)),
@@ -126,7 +126,7 @@
     }
 
     /// Returns how long a request would wait.
-    pub fn expected_wait(&self, want: &Want) -> Duration {
+    pub fn expected_wait(&self, want: &SlotRequest) -> Duration {
         self.0.borrow().line.expected_wait(want, clock::now())
     }
 
@@ -142,7 +142,7 @@
 
     /// Refuses who waited too long and lets in who can run; call it a few times a second.
     pub fn tick(&self) {
-        self.change(Line::tick);
+        self.change(PoolScheduler::tick);
     }
 
     /// Returns how many requests wait.
@@ -171,7 +171,7 @@
         .detach();
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut Line, Instant) -> T) -> T {
+    fn change<T>(&self, change: impl FnOnce(&mut PoolScheduler, Instant) -> T) -> T {
         let now = clock::now();
         let mut inner = self.0.borrow_mut();
         let changed = change(&mut inner.line, now);
@@ -179,11 +179,11 @@
         changed
     }
 
-    fn cost(&self, want: &Want) -> u64 {
+    fn cost(&self, want: &SlotRequest) -> u64 {
         self.0.borrow().line.cost(want)
     }
 
-    fn permit(&self, runner: RunnerSpec, want: Want, cost: u64) -> Permit {
+    fn permit(&self, runner: RunnerSpec, want: SlotRequest, cost: u64) -> Permit {
         let gate = self.clone();
         Permit { gate, runner, want, cost, report: RunReport::RELEASED, is_unused: false }
     }
@@ -206,7 +206,7 @@
         // A slot may have been granted in the moment the caller left.
         if let Ok(Some(Ok(spec))) = self.rx.try_recv() {
             let now = clock::now();
-            inner.line.give_up(&spec.name, &self.id, now);
+            inner.line.release_abandoned(&spec.name, &self.id, now);
             inner.deliver(now);
         }
     }
@@ -217,7 +217,7 @@
     gate: Gate,
     /// The runner.
     pub runner: RunnerSpec,
-    want: Want,
+    want: SlotRequest,
     cost: u64,
     report: RunReport,
     is_unused: bool,
@@ -240,9 +240,9 @@
         let (runner, want) = (&self.runner.name, &self.want);
         self.gate.change(|line, now| {
             if self.is_unused {
-                return line.give_up_unused(runner, want, self.cost, now);
+                return line.release_unused(runner, want, self.cost, now);
             }
-            line.give_back(runner, want, self.cost, self.report, now);
+            line.release(runner, want, self.cost, self.report, now);
         });
     }
 }
--- a/crates/hatchpitch/src/dispatch/mod.rs
+++ b/crates/hatchpitch/src/dispatch/mod.rs
@@ -5,15 +5,15 @@
 //!
 //! 1. [`owners`] says which box decides for which engines;
 //! 2. [`search`] says which owners a request asks, and what follows from their quotes;
-//! 3. [`mod@line`] lets requests onto the engines of one owner, in the order of its line.
+//! 3. [`scheduler`] lets requests onto the engines of one owner, in the order of its line.
 //!
 //! `grants` and [`Gate`](crate::admission::Gate) carry the decisions out.
 
-pub mod line;
 pub mod owners;
+pub mod scheduler;
 pub mod search;
 pub mod verify;
 
-pub use line::{Answer, Decision, Line, Refusal, Want};
 pub use owners::OwnerMap;
+pub use scheduler::{Answer, Decision, PoolScheduler, Refusal, SlotRequest};
 pub use search::{OwnerChoice, Quote, Step};
--- a/crates/hatchpitch/src/dispatch/owners.rs
+++ b/crates/hatchpitch/src/dispatch/owners.rs
@@ -52,7 +52,7 @@
 
 /// Returns how many shards the engines of one pool and failure domain make: a power of two, so
 /// that engines that come and go seldom change it, and half of the engines stay when they do.
-pub fn shards(engines: usize) -> usize {
+pub fn shard_count(engines: usize) -> usize {
     engines.div_ceil(ENGINES_A_SHARD).next_power_of_two()
 }
 
@@ -181,7 +181,7 @@
             let key = ShardKey {
                 pool: pool.pool.name.clone(),
                 domain: runner.failure_domain.clone(),
-                number: shard_of(&runner.name, shards(sizes[runner.failure_domain.as_str()])),
+                number: shard_of(&runner.name, shard_count(sizes[runner.failure_domain.as_str()])),
             };
             engines.insert(runner.name.clone(), key);
         }
--- a/crates/hatchpitch/src/dispatch/line.rs
+++ b/crates/hatchpitch/src/dispatch/scheduler.rs
@@ -44,7 +44,7 @@
 
 /// A request for a slot on an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct SlotRequest {
     /// Names the run.
     pub id: AttemptId,
     /// Who asks.
@@ -90,7 +90,7 @@
     pub only_try: bool,
 }
 
-impl Want {
+impl SlotRequest {
     /// Returns whether the request may run at a runner, as far as it says itself.
     pub fn may_run_at(&self, runner: &RunnerName, domain: &FailureDomainName) -> bool {
         !self.avoid.contains(runner) && (self.within.is_empty() || self.within.contains(domain))
@@ -156,15 +156,15 @@
 
 /// The engines of one pool at one owner, and the requests that wait for them.
 #[derive(Debug, Clone)]
-pub struct Line {
+pub struct PoolScheduler {
     pub(super) table: RunnerTable,
     pub(super) queue: AdmissionQueue,
-    pub(super) waiting: BTreeMap<Ticket, Want>,
+    pub(super) waiting: BTreeMap<Ticket, SlotRequest>,
     lengths: LengthModel,
     answers: Vec<Answer>,
 }
 
-impl Line {
+impl PoolScheduler {
     /// Creates a line without engines.
     pub fn new(admission: AdmissionConfig, routing: RoutingConfig) -> Self {
         Self {
@@ -177,7 +177,7 @@
     }
 
     /// Makes the line keep to limits and rests that the whole box knows of.
-    pub fn sharing(mut self, signals: SharedSignals) -> Self {
+    pub fn with_signals(mut self, signals: SharedSignals) -> Self {
         self.table.share_signals(signals);
         self
     }
@@ -193,7 +193,11 @@
     ///
     /// Returns a [`Refusal`] if no runner that it asks for takes work; `Ok(None)` means that the
     /// request would wait.
-    pub fn place(&mut self, want: &Want, now: Instant) -> Result<Option<RunnerSpec>, Refusal> {
+    pub fn place(
+        &mut self,
+        want: &SlotRequest,
+        now: Instant,
+    ) -> Result<Option<RunnerSpec>, Refusal> {
         if !self.table.any_serving_for(&want.asked()) {
             return Err(self.no_runner(now));
         }
@@ -206,7 +210,7 @@
     }
 
     /// Takes a slot, or a place in the line, or turns the request away.
-    pub fn decide(&mut self, want: &Want, now: Instant) -> Decision {
+    pub fn decide(&mut self, want: &SlotRequest, now: Instant) -> Decision {
         match self.place(want, now) {
             Ok(Some(spec)) => return Decision::Run(spec),
             Ok(None) => {}
@@ -215,7 +219,7 @@
         if let Some(closed) = self.closed(want, now)
             && closed.opens_in > want.limit_wait.unwrap_or(Duration::MAX)
         {
-            return Decision::Refuse(closed_to(want, closed));
+            return Decision::Refuse(unavailable_refusal(want, closed));
         }
         let waiter = Waiter {
             workspace: want.workspace.clone(),
@@ -245,7 +249,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] if no runner that it asks for takes work.
-    pub fn quote(&self, want: &Want, now: Instant) -> Result<Quote, Refusal> {
+    pub fn quote(&self, want: &SlotRequest, now: Instant) -> Result<Quote, Refusal> {
         if !self.table.any_serving_for(&want.asked()) {
             return Err(self.no_runner(now));
         }
@@ -259,17 +263,22 @@
 
     /// Counts a slot that another owner granted, `since` when; returns the engine, unless it
     /// belongs to another owner.
-    pub fn adopt(&mut self, runner: &str, want: &Want, since: Instant) -> Option<RunnerSpec> {
+    pub fn adopt(
+        &mut self,
+        runner: &str,
+        want: &SlotRequest,
+        since: Instant,
+    ) -> Option<RunnerSpec> {
         let spec = self.table.adopt(runner, &want.asked(), &want.candidate(), since)?;
         self.queue.charge(&want.workspace, self.cost(want));
         Some(spec)
     }
 
     /// Gives a slot back.
-    pub fn give_back(
+    pub fn release(
         &mut self,
         runner: &str,
-        want: &Want,
+        want: &SlotRequest,
         cost: u64,
         report: RunReport,
         now: Instant,
@@ -283,13 +292,13 @@
     }
 
     /// Gives back a slot that was not used, and what it was charged for.
-    pub fn give_up_unused(&mut self, runner: &str, want: &Want, cost: u64, now: Instant) {
+    pub fn release_unused(&mut self, runner: &str, want: &SlotRequest, cost: u64, now: Instant) {
         self.queue.correct(&want.workspace, cost, 0);
-        self.give_up(runner, &want.id, now);
+        self.release_abandoned(runner, &want.id, now);
     }
 
     /// Gives back a slot whose request left before it had it.
-    pub fn give_up(&mut self, runner: &str, id: &str, now: Instant) {
+    pub fn release_abandoned(&mut self, runner: &str, id: &str, now: Instant) {
         self.table.give_back(runner, id, RunReport::RELEASED, now);
         self.pump(now);
     }
@@ -329,21 +338,21 @@
     }
 
     /// Returns how long a request would wait.
-    pub fn expected_wait(&self, want: &Want, now: Instant) -> Duration {
+    pub fn expected_wait(&self, want: &SlotRequest, now: Instant) -> Duration {
         let in_line = self.queue.expected_wait(&want.workspace, want.priority);
         self.closed(want, now).map_or(in_line, |closed| closed.opens_in.max(in_line))
     }
 
     /// Returns how long a request would wait for runners that are at their limits or rest, if all
     /// are that could run it.
-    fn closed(&self, want: &Want, now: Instant) -> Option<Closed> {
+    fn closed(&self, want: &SlotRequest, now: Instant) -> Option<Closed> {
         let mut closed = self.table.closed(&want.asked(), now)?;
         closed.opens_in += self.queue.expected_wait(&want.workspace, want.priority);
         Some(closed)
     }
 
     /// Returns when a refused caller may come back.
-    pub fn retry_after(&self, want: &Want) -> Duration {
+    pub fn retry_after(&self, want: &SlotRequest) -> Duration {
         self.queue.retry_after(&want.workspace, want.priority)
     }
 
@@ -353,13 +362,13 @@
     }
 
     /// Returns the tokens that a request is expected to cost.
-    pub fn cost(&self, want: &Want) -> u64 {
+    pub fn cost(&self, want: &SlotRequest) -> u64 {
         want.prompt + self.lengths.mean(EXPECTED_OUTPUT).min(want.max_tokens)
     }
 
     /// Returns whether others go first. A running generation that is moved goes past the line: its
     /// stream would stand still, and its engine is gone within seconds.
-    fn waits_in_line(&self, want: &Want) -> bool {
+    fn waits_in_line(&self, want: &SlotRequest) -> bool {
         want.copied == 0 && !self.queue.is_empty()
     }
 
@@ -411,7 +420,7 @@
     /// Refuses who has waited in vain for as long as it may for runners at their limits or at rest:
     /// other boxes may take each permit before this line looks.
     fn refuse_closed(&mut self, now: Instant) {
-        let has_waited = |(ticket, want): (&Ticket, &Want)| {
+        let has_waited = |(ticket, want): (&Ticket, &SlotRequest)| {
             let waited = self.queue.waited(*ticket, now)?;
             let longest = want.limit_wait?;
             let closed = self.closed(want, now).filter(|_| waited >= longest)?;
@@ -421,7 +430,7 @@
         for (ticket, closed) in over {
             self.queue.cancel(ticket);
             if let Some(want) = self.waiting.remove(&ticket) {
-                let slot = Err(closed_to(&want, closed));
+                let slot = Err(unavailable_refusal(&want, closed));
                 self.answers.push(Answer { ticket, id: want.id, slot });
             }
         }
@@ -435,7 +444,7 @@
 }
 
 /// Refuses a request to which all runners are closed.
-pub fn closed_to(want: &Want, closed: Closed) -> Refusal {
+pub fn unavailable_refusal(want: &SlotRequest, closed: Closed) -> Refusal {
     if !closed.rests {
         return Refusal::new(AT_LIMIT, closed.opens_in);
     }
@@ -447,7 +456,7 @@
 fn pick(
     table: &mut RunnerTable,
     lengths: &LengthModel,
-    want: &Want,
+    want: &SlotRequest,
     now: Instant,
 ) -> Option<RunnerSpec> {
     table.pick(&want.asked(), &want.candidate(), lengths, now)
--- a/crates/hatchpitch/src/dispatch/search.rs
+++ b/crates/hatchpitch/src/dispatch/search.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::line::Refusal;
+use super::scheduler::Refusal;
 
 /// Owners of the request's own failure domain that are asked for quotes in one round: two
 /// choices take most of the gain, more cost bytes.
@@ -56,7 +56,7 @@
     /// It is turned away.
     Refuse(Refusal),
     /// No owner answers: its own box decides for itself.
-    Alone,
+    DecideLocally,
 }
 
 /// One request's search for a slot.
@@ -136,12 +136,12 @@
                 Step::Refuse(Refusal::new("more wait than can be served in time", wait))
             }
             Some((_, owner)) => Step::Wait(owner),
-            None => Step::Alone,
+            None => Step::DecideLocally,
         }
     }
 
     /// Takes in quotes; an owner that did not answer is left out.
-    pub fn heard_quotes(&mut self, quotes: impl IntoIterator<Item = (SocketAddr, Quote)>) {
+    pub fn record_quotes(&mut self, quotes: impl IntoIterator<Item = (SocketAddr, Quote)>) {
         for (owner, quote) in quotes {
             match quote {
                 Quote::Room(load) => self.rooms.push((load, owner)),
@@ -152,12 +152,12 @@
     }
 
     /// Notes that an owner has no room after all.
-    pub fn heard_busy(&mut self, owner: SocketAddr, wait: Duration) {
+    pub fn record_busy(&mut self, owner: SocketAddr, wait: Duration) {
         self.busy.push((wait, owner));
     }
 
     /// Notes that the owner at which the request waited gave it up.
-    pub fn heard_refusal(&mut self, refusal: Refusal) {
+    pub fn record_refusal(&mut self, refusal: Refusal) {
         self.refused = Some(refusal);
     }
 
--- a/crates/hatchpitch/src/dispatch/verify.rs
+++ b/crates/hatchpitch/src/dispatch/verify.rs
@@ -1,6 +1,6 @@
-//! Checks the invariants of a [`Line`].
+//! Checks the invariants of a [`PoolScheduler`].
 
-use super::line::Line;
+use super::scheduler::PoolScheduler;
 use crate::{admission, routing};
 
 /// Checks a line, its queue and its engines.
@@ -8,7 +8,7 @@
 /// # Errors
 ///
 /// Returns the invariant that does not hold.
-pub fn verify(line: &Line) -> Result<(), String> {
+pub fn verify(line: &PoolScheduler) -> Result<(), String> {
     admission::verify::verify(&line.queue)?;
     routing::verify::verify(&line.table)?;
     if !line.queue.tickets().eq(line.waiting.keys().copied()) {
--- a/crates/hatchpitch/src/entry/apps.rs
+++ b/crates/hatchpitch/src/entry/apps.rs
@@ -17,7 +17,7 @@
 use crate::claims::{ClaimId, ClaimOutcome, ClaimRequest, KeptAnswer, SettleRequest, Settlement};
 use crate::config::view::{FleetView, ServiceView};
 use crate::config::{ServiceUpstream, Workspace};
-use crate::dispatch::line::RESTING;
+use crate::dispatch::scheduler::RESTING;
 use crate::engine::adapter::signals;
 use crate::ids::{Digest, Priority, new_id};
 use crate::metrics::Count;
--- a/crates/hatchpitch/src/entry/generation.rs
+++ b/crates/hatchpitch/src/entry/generation.rs
@@ -6,7 +6,7 @@
 use hatchpitch_net::clock;
 
 use super::context::{EntryCx, StreamGuard};
-use crate::dispatch::{Refusal, Want};
+use crate::dispatch::{Refusal, SlotRequest};
 use crate::engine::adapter::{self, EngineError};
 use crate::engine::{EventReader, GenerateRequest};
 use crate::grants::{self, Slot};
@@ -522,7 +522,7 @@
     span: &Span,
 ) -> Result<Slot, Refusal> {
     let _span = span.child("admission.wait");
-    let want = Want {
+    let want = SlotRequest {
         id: new_id(),
         workspace: job.workspace.clone(),
         priority: job.priority,
@@ -531,7 +531,7 @@
         max_tokens: job.max_tokens,
         avoid: avoid.to_vec(),
         sends_here: true,
-        ..Want::default()
+        ..SlotRequest::default()
     };
     grants::task::obtain(cx, &job.pool, want).await
 }
--- a/crates/hatchpitch/src/grants/held.rs
+++ b/crates/hatchpitch/src/grants/held.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use super::messages::AdoptedSlot;
-use crate::dispatch::Want;
+use crate::dispatch::SlotRequest;
 use crate::ids::{AttemptId, PoolName, RunnerName};
 
 /// A slot that this box holds.
@@ -22,7 +22,7 @@
     /// The engine.
     pub runner: RunnerName,
     /// What was asked for.
-    pub want: Want,
+    pub want: SlotRequest,
     /// When it was granted.
     pub since: Instant,
     /// Whether this box granted it, and so counts it until it is given back.
--- a/crates/hatchpitch/src/grants/messages.rs
+++ b/crates/hatchpitch/src/grants/messages.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::dispatch::{Refusal, Want};
+use crate::dispatch::{Refusal, SlotRequest};
 use crate::ids::{AttemptId, BoxName, FailureDomainName, PoolName, RunnerName};
 use crate::routing::RunReport;
 
@@ -17,7 +17,7 @@
     /// The pool.
     pub pool: PoolName,
     /// What is wanted.
-    pub want: Want,
+    pub want: SlotRequest,
     /// What is asked for.
     pub ask: Ask,
 }
@@ -90,7 +90,7 @@
     /// The engine.
     pub runner: RunnerName,
     /// What was asked for.
-    pub want: Want,
+    pub want: SlotRequest,
     /// How long it has been held.
     pub age: Duration,
 }
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -13,9 +13,9 @@
     ReleaseRequest,
 };
 use crate::admission::{Gate, Permit, Placement};
-use crate::dispatch::line::{AT_LIMIT, RESTING, closed_to};
+use crate::dispatch::scheduler::{AT_LIMIT, RESTING, unavailable_refusal};
 use crate::dispatch::search::Search;
-use crate::dispatch::{OwnerChoice, Quote, Refusal, Step, Want};
+use crate::dispatch::{OwnerChoice, Quote, Refusal, SlotRequest, Step};
 use crate::entry::EntryCx;
 use crate::ids::{AttemptId, FailureDomainName, RunnerName, new_id};
 use crate::membership::MemberStatus;
@@ -145,7 +145,7 @@
 /// # Errors
 ///
 /// Returns a [`Refusal`] as soon as the request is given up on.
-pub async fn obtain(cx: &Rc<EntryCx>, pool: &str, mut want: Want) -> Result<Slot, Refusal> {
+pub async fn obtain(cx: &Rc<EntryCx>, pool: &str, mut want: SlotRequest) -> Result<Slot, Refusal> {
     for _ in 0..MAX_ASKED {
         let slot = obtain_any(cx, pool, want.clone()).await?;
         if !cx.upstream_serves(&slot.runner) {
@@ -159,7 +159,7 @@
     Err(Refusal::new(RESTING, RESTED_RETRY))
 }
 
-async fn obtain_any(cx: &Rc<EntryCx>, pool: &str, want: Want) -> Result<Slot, Refusal> {
+async fn obtain_any(cx: &Rc<EntryCx>, pool: &str, want: SlotRequest) -> Result<Slot, Refusal> {
     let view = cx.sync_gates();
     let placement = view.pools.iter().find(|p| p.pool.name == pool).map(|p| cx.placement(p));
     if placement.unwrap_or(cx.settings.policy.placement) == Placement::Local {
@@ -170,12 +170,12 @@
 }
 
 /// Waits until some engine that could take a request wants work of this box.
-async fn await_rests(cx: &EntryCx, pool: &str, want: &Want) -> Result<(), Refusal> {
+async fn await_rests(cx: &EntryCx, pool: &str, want: &SlotRequest) -> Result<(), Refusal> {
     let started = clock::now();
     let longest = want.limit_wait.or(want.max_wait).unwrap_or(cx.settings.timing.max_wait);
     while let Some(opens_in) = rests_of_all(cx, pool, want) {
         if clock::since(started) + opens_in > longest {
-            return Err(closed_to(want, Closed { opens_in, rests: true }));
+            return Err(unavailable_refusal(want, Closed { opens_in, rests: true }));
         }
         compio::time::sleep(opens_in).await;
     }
@@ -184,7 +184,7 @@
 
 /// Returns the time until the first engine that could take a request wants work of this box, if
 /// none does now.
-fn rests_of_all(cx: &EntryCx, pool: &str, want: &Want) -> Option<Duration> {
+fn rests_of_all(cx: &EntryCx, pool: &str, want: &SlotRequest) -> Option<Duration> {
     if cx.rests.borrow().is_empty() {
         return None;
     }
@@ -207,7 +207,7 @@
 
 /// Gets a slot for which this box decides. Limits of the upstreams are kept by others as well; one
 /// that turns out to be at its limit is not picked again until it has room.
-async fn obtain_here(cx: &Rc<EntryCx>, pool: &str, mut want: Want) -> Result<Slot, Refusal> {
+async fn obtain_here(cx: &Rc<EntryCx>, pool: &str, mut want: SlotRequest) -> Result<Slot, Refusal> {
     let mut asked = 0;
     loop {
         let permit = cx.gate(pool).admit(want.clone()).await?;
@@ -224,7 +224,11 @@
 }
 
 /// Gets what the limit of a runner asks for beside the slot, or gives the slot back.
-async fn confirmed(cx: &Rc<EntryCx>, permit: Permit, want: &Want) -> Result<Permit, Duration> {
+async fn confirmed(
+    cx: &Rc<EntryCx>,
+    permit: Permit,
+    want: &SlotRequest,
+) -> Result<Permit, Duration> {
     match upstream_limits::confirm(cx, &permit.runner.name, want.priority).await {
         Ok(()) => Ok(permit),
         Err(wait) => {
@@ -238,7 +242,7 @@
 struct Asking {
     cx: Rc<EntryCx>,
     pool: String,
-    want: Want,
+    want: SlotRequest,
 }
 
 /// What one owner said.
@@ -256,18 +260,18 @@
         loop {
             let (owner, ask) = match search.step() {
                 Step::Quote(owners) => {
-                    search.heard_quotes(self.quotes(owners).await);
+                    search.record_quotes(self.quotes(owners).await);
                     continue;
                 }
                 Step::Take(owner) => (owner, Ask::Now),
                 Step::Wait(owner) => (owner, Ask::Wait),
                 Step::Refuse(refusal) => return Err(refusal),
-                Step::Alone => return self.alone().await,
+                Step::DecideLocally => return self.alone().await,
             };
             match self.ask_owner(owner, ask).await {
                 Said::Slot(slot) => return Ok(*slot),
-                Said::Busy(wait) => search.heard_busy(owner, wait),
-                Said::Refused(refusal) => search.heard_refusal(refusal),
+                Said::Busy(wait) => search.record_busy(owner, wait),
+                Said::Refused(refusal) => search.record_refusal(refusal),
                 Said::Quoted(_) | Said::Away => {}
             }
         }
@@ -345,7 +349,7 @@
     }
 
     /// Returns what another box is asked for: engines that asked this one for rest are left out.
-    fn want_elsewhere(&self) -> Want {
+    fn want_elsewhere(&self) -> SlotRequest {
         let mut want = self.want.clone();
         let rests = self.cx.rests.borrow();
         want.avoid.extend(rests.closed(clock::now()).take(MAX_LEFT_OUT).cloned());
@@ -416,7 +420,7 @@
     NotOwner,
 }
 
-async fn decide(cx: &Rc<EntryCx>, gate: &Gate, want: &Want, ask: Ask) -> Decided {
+async fn decide(cx: &Rc<EntryCx>, gate: &Gate, want: &SlotRequest, ask: Ask) -> Decided {
     if ask == Ask::Quote {
         return match gate.quote(want) {
             Ok(Quote::Room(load)) => Decided::Quote(load),
--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -9,7 +9,7 @@
 use hatchpitch_net::clock;
 
 use super::ask::Turn;
-use crate::dispatch::Want;
+use crate::dispatch::SlotRequest;
 use crate::grants::Slot;
 use crate::grants::task::obtain;
 use crate::ids::{FailureDomainName, RunnerName, ServiceName, new_id};
@@ -213,7 +213,7 @@
             roster.leaving().map(UpstreamRecord::life).collect()
         };
         avoid.push(self.leaver.runner.clone());
-        let want = Want {
+        let want = SlotRequest {
             id: new_id(),
             workspace: self.req.workspace.clone().unwrap_or_default(),
             priority: self.req.priority(),
--- a/crates/hatchpitch/src/relay/run.rs
+++ b/crates/hatchpitch/src/relay/run.rs
@@ -17,7 +17,7 @@
 use super::request::HostedRequest;
 use super::{answer, stream};
 use crate::config::hosted::{HostedRoute, RunPolicy};
-use crate::dispatch::{Refusal, Want};
+use crate::dispatch::{Refusal, SlotRequest};
 use crate::entry::EntryCx;
 use crate::grants::Slot;
 use crate::grants::task::obtain;
@@ -348,7 +348,7 @@
         let (needs, aim) = (self.req.generation, self.req.route.answer_aim);
         let settings = &self.relay.cx.settings;
         let refuses_early = needs.is_some() && settings.policy.early_refusal;
-        let want = Want {
+        let want = SlotRequest {
             id: new_id(),
             workspace: self.req.workspace.clone().unwrap_or_default(),
             priority: self.req.priority(),
--- a/crates/hatchpitch/tests/hand_over.rs
+++ b/crates/hatchpitch/tests/hand_over.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hatchpitch::admission::{AdmissionConfig, MemoryPolicy};
-use hatchpitch::dispatch::{Decision, Line, Quote, Want, verify};
+use hatchpitch::dispatch::{Decision, PoolScheduler, Quote, SlotRequest, verify};
 use hatchpitch::grants::{HeldSlot, HeldSlots};
 use hatchpitch::routing::state::RunnerSpec;
 use hatchpitch::routing::{RoutingConfig, RunReport, Verdict};
@@ -13,22 +13,22 @@
     ([10, 0, 0, i], 1).into()
 }
 
-fn want(id: &str, prompt: u64) -> Want {
-    Want {
+fn want(id: &str, prompt: u64) -> SlotRequest {
+    SlotRequest {
         id: id.to_owned(),
         workspace: "w".to_owned(),
         priority: 1,
         kind: "k".to_owned(),
         prompt,
         max_tokens: 500,
-        ..Want::default()
+        ..SlotRequest::default()
     }
 }
 
 /// An owner of one engine with room for three prompts of 3,000 tokens.
-fn line(now: Instant) -> Line {
+fn line(now: Instant) -> PoolScheduler {
     let routing = RoutingConfig { memory: MemoryPolicy::Watermark(1.0), ..Default::default() };
-    let mut line = Line::new(AdmissionConfig::default(), routing);
+    let mut line = PoolScheduler::new(AdmissionConfig::default(), routing);
     let spec = RunnerSpec {
         name: "e".to_owned(),
         addr: addr(9),
@@ -62,7 +62,7 @@
     assert!(matches!(line.quote(&want("d", 3_000), now), Ok(Quote::Busy(_))));
     let Decision::Wait(ticket) = line.decide(&want("d", 3_000), now) else { panic!() };
     let report = RunReport { verdict: Verdict::Succeeded, tokens: Some(100), first: None };
-    line.give_back("e", &want("a", 3_000), 3_256, report, now);
+    line.release("e", &want("a", 3_000), 3_256, report, now);
     let answers = line.take_answers();
     assert_eq!(answers.len(), 1);
     assert!(answers[0].ticket == ticket && answers[0].slot.is_ok());
--- a/crates/hatchpitch/tests/overload/fleet.rs
+++ b/crates/hatchpitch/tests/overload/fleet.rs
@@ -6,9 +6,11 @@
 use std::time::{Duration, Instant};
 
 use hatchpitch::admission::{AdmissionConfig, Policy as Decisions};
-use hatchpitch::dispatch::owners::{shard_of, shards};
+use hatchpitch::dispatch::owners::{shard_count, shard_of};
 use hatchpitch::dispatch::search::Search;
-use hatchpitch::dispatch::{Decision, Line, OwnerChoice, Quote, Step, Want, verify};
+use hatchpitch::dispatch::{
+    Decision, OwnerChoice, PoolScheduler, Quote, SlotRequest, Step, verify,
+};
 use hatchpitch::routing::state::RunnerSpec;
 use hatchpitch::routing::{RoutingConfig, RunReport, Verdict};
 use rand::rngs::StdRng;
@@ -78,7 +80,7 @@
 /// A run at an engine.
 struct Run {
     owner: usize,
-    want: Want,
+    want: SlotRequest,
     cost: u64,
     since_ms: u64,
     first_ms: Option<u64>,
@@ -87,7 +89,7 @@
 pub struct Fleet {
     pub engines: Vec<Engine>,
     owner_of: Vec<usize>,
-    lines: Vec<Line>,
+    lines: Vec<PoolScheduler>,
     policy: Policy,
     domains: usize,
     away: BTreeSet<usize>,
@@ -121,7 +123,7 @@
             Policy::OneEach => (0..engines).collect(),
             Policy::Shards => {
                 let in_domain = |domain| made.iter().filter(|e| e.domain == domain).count();
-                let shard = |i: usize| shard_of(&name(i), shards(in_domain(made[i].domain)));
+                let shard = |i: usize| shard_of(&name(i), shard_count(in_domain(made[i].domain)));
                 (0..engines).map(|i| shard(i) * domains + made[i].domain).collect()
             }
         };
@@ -138,7 +140,8 @@
         };
         let routing =
             RoutingConfig { memory: Decisions::default().memory, ..RoutingConfig::default() };
-        fleet.lines = (0..owners).map(|_| Line::new(AdmissionConfig::default(), routing)).collect();
+        fleet.lines =
+            (0..owners).map(|_| PoolScheduler::new(AdmissionConfig::default(), routing)).collect();
         (0..owners).for_each(|owner| fleet.sync(owner, 0));
         fleet
     }
@@ -203,7 +206,7 @@
                     .into_iter()
                     .filter_map(|a| Some((a, self.lines[owner_at(a)].quote(&want, now).ok()?)))
                     .collect();
-                ask.search.heard_quotes(quotes);
+                ask.search.record_quotes(quotes);
                 call_ms = CALL_MS;
             }
             Step::Take(a) => {
@@ -212,7 +215,7 @@
                     Ok(Some(spec)) => return self.run(ask.request, req, owner, &spec, ms, running),
                     Ok(None) => {
                         let wait = self.lines[owner].expected_wait(&want, now);
-                        ask.search.heard_busy(a, wait);
+                        ask.search.record_busy(a, wait);
                     }
                     Err(_) => {}
                 }
@@ -230,10 +233,10 @@
                         waiting.insert((owner, ticket), entry);
                         return;
                     }
-                    Decision::Refuse(refusal) => ask.search.heard_refusal(refusal),
+                    Decision::Refuse(refusal) => ask.search.record_refusal(refusal),
                 }
             }
-            Step::Refuse(_) | Step::Alone => {
+            Step::Refuse(_) | Step::DecideLocally => {
                 fates[ask.request].refused_after_ms = Some(ms - req.at_ms);
                 return;
             }
@@ -284,7 +287,7 @@
                 let now = self.at(ms);
                 let first = run.first_ms.map(|first| Duration::from_millis(first - run.since_ms));
                 let report = RunReport { verdict: Verdict::Succeeded, tokens: Some(tokens), first };
-                self.lines[run.owner].give_back(&name(engine), &run.want, run.cost, report, now);
+                self.lines[run.owner].release(&name(engine), &run.want, run.cost, report, now);
             }
         }
     }
@@ -389,8 +392,8 @@
     format!("e{engine}")
 }
 
-fn want(request: usize, req: &Request) -> Want {
-    Want {
+fn want(request: usize, req: &Request) -> SlotRequest {
+    SlotRequest {
         id: request.to_string(),
         workspace: req.workspace.to_string(),
         priority: req.priority,
@@ -399,6 +402,6 @@
         max_tokens: 1_104,
         near: Some(req.domain.to_string()),
         accepts: Some(Duration::from_millis(req.aim_ms / 2)),
-        ..Want::default()
+        ..SlotRequest::default()
     }
 }
--- a/crates/hatchpitch/tests/ownership.rs
+++ b/crates/hatchpitch/tests/ownership.rs
@@ -1,7 +1,7 @@
 //! Owners that are mended by what changed, against owners worked out anew.
 
 use hatchpitch::config::{ConfigState, FleetView, load_fleet};
-use hatchpitch::dispatch::owners::{OwnerMap, owner_of, shard_of, shards};
+use hatchpitch::dispatch::owners::{OwnerMap, owner_of, shard_count, shard_of};
 use hatchpitch::membership::{MemberRecord, MemberStatus, Subject};
 
 fn member(i: u16) -> MemberRecord {
@@ -23,7 +23,7 @@
     engines: usize,
     boxes: &[&'a MemberRecord],
 ) -> Option<&'a MemberRecord> {
-    let key = format!("p/d/{}", shard_of(runner, shards(engines)));
+    let key = format!("p/d/{}", shard_of(runner, shard_count(engines)));
     let near = boxes.iter().copied().filter(|record| record.failure_domain == "d");
     owner_of(&key, near).or_else(|| owner_of(&key, boxes.iter().copied()))
 }
@@ -103,7 +103,7 @@
 #[test]
 fn a_shard_holds_few_engines_and_doubling_leaves_half_of_them_in_place() {
     for engines in 1..200_usize {
-        let count = shards(engines);
+        let count = shard_count(engines);
         assert!(engines.div_ceil(count) <= 8, "{engines} engines, {count} shards");
         assert!(count == 1 || engines > 4 * count, "{engines} engines, {count} shards");
     }
--- a/crates/hatchpitch/tests/reading.rs
+++ b/crates/hatchpitch/tests/reading.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hatchpitch::admission::{AdmissionConfig, Gate};
-use hatchpitch::dispatch::{Decision, Line, Quote, Want};
+use hatchpitch::dispatch::{Decision, PoolScheduler, Quote, SlotRequest};
 use hatchpitch::routing::RoutingConfig;
 use hatchpitch::routing::reading::Reading;
 use hatchpitch::routing::state::RunnerSpec;
@@ -12,15 +12,15 @@
     Duration::from_millis(ms)
 }
 
-fn want(id: u64, priority: u8) -> Want {
-    Want {
+fn want(id: u64, priority: u8) -> SlotRequest {
+    SlotRequest {
         id: id.to_string(),
         workspace: "w".to_owned(),
         priority,
         kind: "k".to_owned(),
         prompt: 3_000,
         max_tokens: 500,
-        ..Want::default()
+        ..SlotRequest::default()
     }
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn who_pays_more_is_read_before_those_that_came_earlier() {
     let now = Instant::now();
-    let mut line = Line::new(AdmissionConfig::default(), RoutingConfig::default());
+    let mut line = PoolScheduler::new(AdmissionConfig::default(), RoutingConfig::default());
     line.update(now, |table| table.sync([spec()]));
     let mut tickets = Vec::new();
     for id in 0..6 {
@@ -91,11 +91,11 @@
 #[test]
 fn a_copy_does_not_wait_for_prompts() {
     let now = Instant::now();
-    let mut line = Line::new(AdmissionConfig::default(), RoutingConfig::default());
+    let mut line = PoolScheduler::new(AdmissionConfig::default(), RoutingConfig::default());
     line.update(now, |table| table.sync([spec()]));
     while matches!(line.place(&want(0, 1), now), Ok(Some(_))) {}
     assert!(matches!(line.decide(&want(1, 9), now), Decision::Wait(_)));
-    let copy = Want { copied: 3_000, ..want(2, 1) };
+    let copy = SlotRequest { copied: 3_000, ..want(2, 1) };
     assert!(matches!(line.place(&copy, now), Ok(Some(_))));
 }
 
@@ -106,7 +106,7 @@
     let started = Instant::now();
     let mut slots = Vec::new();
     for id in 0..2 {
-        slots.push(gate.admit(Want { prompt: 6_000, ..want(id, 1) }).await.unwrap());
+        slots.push(gate.admit(SlotRequest { prompt: 6_000, ..want(id, 1) }).await.unwrap());
     }
     // On a machine that stands still for long the engine has read them by now.
     if started.elapsed() < ms(500) {
--- a/crates/hatchpitch/tests/line.rs
+++ b/crates/hatchpitch/tests/scheduler.rs
@@ -4,7 +4,7 @@
 
 use hatchpitch::admission::AdmissionConfig;
 use hatchpitch::admission::memory::MemoryPolicy;
-use hatchpitch::dispatch::{Answer, Decision, Line, Want, verify};
+use hatchpitch::dispatch::{Answer, Decision, PoolScheduler, SlotRequest, verify};
 use hatchpitch::routing::state::RunnerSpec;
 use hatchpitch::routing::{RoutingConfig, RunReport, Verdict};
 
@@ -14,8 +14,8 @@
 /// Time that an engine takes to read what one request brings here.
 const READ: Duration = Duration::from_secs(2);
 
-fn want(id: u64, prompt: u64) -> Want {
-    Want {
+fn want(id: u64, prompt: u64) -> SlotRequest {
+    SlotRequest {
         id: id.to_string(),
         workspace: (id % 50).to_string(),
         priority: 1,
@@ -23,15 +23,15 @@
         prompt,
         max_tokens: 500,
         accepts: Some(900 * MS),
-        ..Want::default()
+        ..SlotRequest::default()
     }
 }
 
 /// An owner of one engine whose memory takes prompts up to its size.
-fn line(now: Instant) -> Line {
+fn line(now: Instant) -> PoolScheduler {
     let routing = RoutingConfig { memory: MemoryPolicy::Watermark(1.0), ..Default::default() };
     let admission = AdmissionConfig { oldest_every: u64::MAX, ..AdmissionConfig::default() };
-    let mut line = Line::new(admission, routing);
+    let mut line = PoolScheduler::new(admission, routing);
     let spec = RunnerSpec {
         name: "e".to_owned(),
         addr: ([10, 0, 0, 1], 1).into(),
@@ -44,21 +44,21 @@
     line
 }
 
-fn takes(line: &mut Line, want: &Want, now: Instant) {
+fn takes(line: &mut PoolScheduler, want: &SlotRequest, now: Instant) {
     assert!(matches!(line.decide(want, now), Decision::Run(_)), "{}", want.id);
 }
 
-fn waits(line: &mut Line, want: &Want, now: Instant) {
+fn waits(line: &mut PoolScheduler, want: &SlotRequest, now: Instant) {
     assert!(matches!(line.decide(want, now), Decision::Wait(_)), "{}", want.id);
 }
 
-fn gives_back(line: &mut Line, want: &Want, now: Instant) {
+fn gives_back(line: &mut PoolScheduler, want: &SlotRequest, now: Instant) {
     let report = RunReport { verdict: Verdict::Succeeded, tokens: None, first: None };
-    line.give_back("e", want, want.prompt, report, now);
+    line.release("e", want, want.prompt, report, now);
 }
 
 /// Returns who was let in since the last time.
-fn let_in(line: &mut Line) -> Vec<String> {
+fn let_in(line: &mut PoolScheduler) -> Vec<String> {
     verify::verify(line).unwrap();
     let answers = line.take_answers().into_iter();
     answers.filter(|answer| answer.slot.is_ok()).map(|Answer { id, .. }| id).collect()
@@ -87,12 +87,12 @@
     let runs = want(1, 6_000);
     takes(&mut line, &runs, now);
     now += READ;
-    let large = Want { accepts: None, ..want(2, 9_500) };
+    let large = SlotRequest { accepts: None, ..want(2, 9_500) };
     waits(&mut line, &large, now);
     // Small ones come for as long as they like, and end soon.
     let mut past = 0;
     for id in 100..140 {
-        let small = Want { accepts: None, ..want(id, 100) };
+        let small = SlotRequest { accepts: None, ..want(id, 100) };
         waits(&mut line, &small, now);
         line.tick(now);
         for id in let_in(&mut line) {
--- a/crates/hatchpitch/tests/search.rs
+++ b/crates/hatchpitch/tests/search.rs
@@ -49,9 +49,9 @@
     let mut search = search(3, 3, true);
     let asked = quoted(search.step());
     let quotes = [Quote::Room(0.5), Quote::Room(0.2), busy(10), Quote::Room(0.9)];
-    search.heard_quotes(asked.iter().copied().zip(quotes));
+    search.record_quotes(asked.iter().copied().zip(quotes));
     assert_eq!(search.step(), Step::Take(asked[1]));
-    search.heard_busy(asked[1], Duration::from_millis(40));
+    search.record_busy(asked[1], Duration::from_millis(40));
     assert_eq!(search.step(), Step::Take(asked[0]));
     // One that does not answer is passed over.
     assert_eq!(search.step(), Step::Take(asked[3]));
@@ -61,15 +61,15 @@
 fn a_second_round_is_asked_before_a_request_waits_where_the_wait_is_shortest() {
     let mut search = search(6, 6, true);
     let first = quoted(search.step());
-    search.heard_quotes(first.iter().map(|owner| (*owner, busy(300))));
+    search.record_quotes(first.iter().map(|owner| (*owner, busy(300))));
     let second = quoted(search.step());
     assert!(second.iter().all(|owner| !first.contains(owner)), "{first:?} {second:?}");
     let waits = [busy(200), busy(100), busy(400), busy(250)];
-    search.heard_quotes(second.iter().copied().zip(waits));
+    search.record_quotes(second.iter().copied().zip(waits));
     assert_eq!(search.step(), Step::Wait(second[1]));
     // It is gone meanwhile: the next one.
     assert_eq!(search.step(), Step::Wait(second[0]));
-    search.heard_refusal(Refusal::new("displaced", Duration::from_secs(2)));
+    search.record_refusal(Refusal::new("displaced", Duration::from_secs(2)));
     assert_eq!(search.step(), Step::Refuse(Refusal::new("displaced", Duration::from_secs(2))));
 }
 
@@ -77,7 +77,7 @@
 fn who_would_wait_too_long_everywhere_is_refused_without_another_call() {
     let mut search = search(2, 2, true);
     let asked = quoted(search.step());
-    search.heard_quotes(asked.iter().map(|owner| (*owner, busy(1_500))));
+    search.record_quotes(asked.iter().map(|owner| (*owner, busy(1_500))));
     let Step::Refuse(refusal) = search.step() else { panic!() };
     assert_eq!(refusal.retry_after, Duration::from_millis(1_500));
 }
@@ -89,7 +89,7 @@
     loop {
         match search.step() {
             Step::Quote(owners) => asked.extend(owners),
-            step => break assert_eq!(step, Step::Alone),
+            step => break assert_eq!(step, Step::DecideLocally),
         }
     }
     asked.sort();
@@ -102,6 +102,6 @@
     for _ in 0..2 {
         let Step::Take(owner) = search.step() else { panic!() };
         assert!((0..2).any(|i| addr(i) == owner), "{owner}");
-        search.heard_busy(owner, Duration::from_millis(10));
+        search.record_busy(owner, Duration::from_millis(10));
     }
 }
--- a/crates/hatchpitch/tests/upstream_heads.rs
+++ b/crates/hatchpitch/tests/upstream_heads.rs
@@ -5,8 +5,8 @@
 
 use arbitrary::Unstructured;
 use hatchpitch::admission::AdmissionConfig;
-use hatchpitch::dispatch::line::{AT_LIMIT, RESTING};
-use hatchpitch::dispatch::{Decision, Line, Want};
+use hatchpitch::dispatch::scheduler::{AT_LIMIT, RESTING};
+use hatchpitch::dispatch::{Decision, PoolScheduler, SlotRequest};
 use hatchpitch::registry::verify::verify_roster;
 use hatchpitch::registry::{Detail, FollowAnswer, Phase, Roster, UpstreamRecord};
 use hatchpitch::routing::state::RunnerSpec;
@@ -159,14 +159,15 @@
     });
 }
 
-fn line(runners: &[&str]) -> (Line, SharedSignals) {
+fn line(runners: &[&str]) -> (PoolScheduler, SharedSignals) {
     line_of(runners, 1)
 }
 
-fn line_of(runners: &[&str], slots: u64) -> (Line, SharedSignals) {
+fn line_of(runners: &[&str], slots: u64) -> (PoolScheduler, SharedSignals) {
     let signals = SharedSignals::default();
     let admission = AdmissionConfig::default();
-    let mut line = Line::new(admission, RoutingConfig::default()).sharing(signals.clone());
+    let mut line =
+        PoolScheduler::new(admission, RoutingConfig::default()).with_signals(signals.clone());
     let specs = runners.iter().map(|name| RunnerSpec {
         name: (*name).to_owned(),
         addr: "127.0.0.1:1".parse().unwrap(),
@@ -180,13 +181,13 @@
     (line, signals)
 }
 
-fn want(id: u64) -> Want {
-    Want {
+fn want(id: u64) -> SlotRequest {
+    SlotRequest {
         id: format!("run-{id}"),
         workspace: "w".to_owned(),
         limit_wait: Some(ms(75)),
         sends_here: true,
-        ..Want::default()
+        ..SlotRequest::default()
     }
 }
 
@@ -197,7 +198,7 @@
     assert!(matches!(line.decide(&want(1), now), Decision::Run(_)));
     assert!(matches!(line.decide(&want(2), now), Decision::Wait(_)));
     signals.rests.borrow_mut().ask("u", ms(3_000), now);
-    line.give_back("u", &want(1), 0, RunReport::RELEASED, now);
+    line.release("u", &want(1), 0, RunReport::RELEASED, now);
     assert!(line.take_answers().is_empty());
     // It has waited for as long as it may, and is told when the upstream wants work again.
     line.tick(now + ms(75));
@@ -244,13 +245,16 @@
         signals.rests.borrow_mut().ask("u", ms(100), now);
         let back = now + ms(100);
         assert!(matches!(line.decide(&want(1), now), Decision::Run(spec) if spec.name == "v"));
-        let second = Want { only_try, ..want(2) };
+        let second = SlotRequest { only_try, ..want(2) };
         let expected = if only_try { "v" } else { "u" };
         let picked = line.decide(&second, back);
         assert!(matches!(&picked, Decision::Run(spec) if spec.name == expected), "{picked:?}");
         // Where nobody else has room it goes there all the same.
         for id in 3..=5 {
-            assert!(matches!(line.decide(&Want { only_try, ..want(id) }, back), Decision::Run(_)));
+            assert!(matches!(
+                line.decide(&SlotRequest { only_try, ..want(id) }, back),
+                Decision::Run(_)
+            ));
         }
     }
 }
@@ -261,11 +265,11 @@
     let (mut line, signals) = line(&["u"]);
     let now = Instant::now();
     signals.rests.borrow_mut().ask("u", ms(2_000), now);
-    let of_other = Want { sends_here: false, ..want(1) };
+    let of_other = SlotRequest { sends_here: false, ..want(1) };
     assert!(matches!(line.decide(&of_other, now), Decision::Run(_)));
     // The mark does not travel.
     let bytes = rmp_serde::to_vec_named(&want(2)).unwrap();
-    assert!(!rmp_serde::from_slice::<Want>(&bytes).unwrap().sends_here);
+    assert!(!rmp_serde::from_slice::<SlotRequest>(&bytes).unwrap().sends_here);
 }
 
 /// An owner whose engines all asked the sending box for rest would hold its request for nothing.
@@ -273,10 +277,10 @@
 fn a_request_does_not_wait_where_it_may_not_run() {
     let (mut line, _) = line(&["u", "v"]);
     let now = Instant::now();
-    let avoids = Want { avoid: vec!["u".to_owned(), "v".to_owned()], ..want(1) };
+    let avoids = SlotRequest { avoid: vec!["u".to_owned(), "v".to_owned()], ..want(1) };
     assert!(line.quote(&avoids, now).is_err());
     assert!(matches!(line.decide(&avoids, now), Decision::Refuse(_)));
-    let avoids = Want { avoid: vec!["u".to_owned()], ..want(1) };
+    let avoids = SlotRequest { avoid: vec!["u".to_owned()], ..want(1) };
     assert!(matches!(line.decide(&avoids, now), Decision::Run(spec) if spec.name == "v"));
 }
 
--- a/crates/hatchpitch/tests/upstream_limits/line.rs
+++ b/crates/hatchpitch/tests/upstream_limits/line.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hatchpitch::admission::AdmissionConfig;
-use hatchpitch::dispatch::{Decision, Line, Quote, Want, verify};
+use hatchpitch::dispatch::{Decision, PoolScheduler, Quote, SlotRequest, verify};
 use hatchpitch::ids::Priority;
 use hatchpitch::routing::RoutingConfig;
 use hatchpitch::routing::state::RunnerSpec;
@@ -15,11 +15,11 @@
 const LIMIT: f64 = 2.0;
 
 /// A line before engines, of which `limited` name a limit, and the limits.
-fn line(engines: &[&str], limited: &[&str], now: Instant) -> (Line, SharedLimits) {
+fn line(engines: &[&str], limited: &[&str], now: Instant) -> (PoolScheduler, SharedLimits) {
     let limits = SharedLimits::default();
     let admission = AdmissionConfig::default();
-    let mut line = Line::new(admission, RoutingConfig::default())
-        .sharing(SharedSignals { limits: limits.clone(), ..SharedSignals::default() });
+    let mut line = PoolScheduler::new(admission, RoutingConfig::default())
+        .with_signals(SharedSignals { limits: limits.clone(), ..SharedSignals::default() });
     let spec = |name: &&str| RunnerSpec {
         name: (*name).to_owned(),
         addr: ([10, 0, 0, 1], 1).into(),
@@ -38,14 +38,14 @@
     (line, limits)
 }
 
-fn want(id: u64, priority: Priority, limit_wait: Duration) -> Want {
-    Want {
+fn want(id: u64, priority: Priority, limit_wait: Duration) -> SlotRequest {
+    SlotRequest {
         id: id.to_string(),
         workspace: "w".to_owned(),
         priority,
         kind: "k".to_owned(),
         limit_wait: Some(limit_wait),
-        ..Want::default()
+        ..SlotRequest::default()
     }
 }
 
@@ -132,7 +132,7 @@
     let before = line.cost(&want(1, 1, SECOND));
     let first = want(1, 1, SECOND);
     let Decision::Run(spec) = line.decide(&first, start) else { panic!("not let in") };
-    line.give_up_unused(&spec.name, &first, before, start);
+    line.release_unused(&spec.name, &first, before, start);
     assert_eq!(line.cost(&first), before);
     assert_eq!(limits.borrow().limited(), 0);
     verify::verify(&line).unwrap();
@@ -143,7 +143,7 @@
     let start = Instant::now();
     let (mut line, _) = line(&["a", "b"], &["a", "b"], start);
     let later = start + SECOND * 2;
-    let skips = Want { skips_limited: true, ..want(1, 1, Duration::ZERO) };
+    let skips = SlotRequest { skips_limited: true, ..want(1, 1, Duration::ZERO) };
     let decided = line.decide(&skips, later);
     assert!(matches!(&decided, Decision::Refuse(r) if !r.retry_after.is_zero()), "{decided:?}");
     assert!(matches!(line.decide(&want(2, 1, Duration::ZERO), later), Decision::Run(_)));
