--- a/crates/hatchpitch/src/dispatch/mod.rs
+++ b/crates/hatchpitch/src/dispatch/mod.rs
@@ -1,13 +1,14 @@
-//! Where a generation runs, how long it may wait for that, and when it is turned away.
+//! Load balancing and scheduling of generations: where one runs, how long it may queue, and when
+//! it is refused.
 //!
-//! Every decision on load is taken here, on plain data: no socket, no clock, and no randomness
-//! but what is passed in. A request goes through three of them:
+//! The modules are pure state machines: they do no I/O, and the clock and the random numbers are
+//! passed in. A request passes through three of them:
 //!
-//! 1. [`owners`] says which box decides for which engines;
-//! 2. [`search`] says which owners a request asks, and what follows from their quotes;
-//! 3. [`scheduler`] lets requests onto the engines of one owner, in the order of its line.
+//! 1. [`owners`] maps each engine to the box that schedules it;
+//! 2. [`search`] chooses the owners that a request asks, and evaluates their quotes;
+//! 3. [`scheduler`] assigns the engine slots of one owner to requests and queues the others.
 //!
-//! `grants` and [`Gate`](crate::admission::Gate) carry the decisions out.
+//! `grants` and [`Gate`](crate::admission::Gate) carry out the decisions.
 
 pub mod owners;
 pub mod scheduler;
--- a/crates/hatchpitch/src/dispatch/scheduler.rs
+++ b/crates/hatchpitch/src/dispatch/scheduler.rs
@@ -1,10 +1,10 @@
-//! The engines that one box decides for, and the requests that wait for them.
+//! Schedules requests onto the engines of one pool that a box owns, and queues the others.
 //!
-//! Load pattern answered: more work than the engines take at once. Who pays more goes first,
-//! workspaces that pay the same get the same service, a request that would wait longer than it
-//! accepts is turned away on arrival, and a running generation that is moved goes past the line.
-//! A request that finds no room on any engine lets smaller ones go past it, but only so many:
-//! then it holds up those behind it, or the longest prompts would wait for ever.
+//! Handles more demand than the engines can run at once. Higher priorities go first, workspaces
+//! of one priority share the service fairly, a request whose expected wait is longer than it
+//! accepts is refused on arrival, and a running generation that is migrated bypasses the queue.
+//! Smaller requests may bypass one that fits on no engine, up to a limit; from then on it blocks
+//! the queue, because the longest prompts would starve otherwise.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -21,77 +21,78 @@
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
 use crate::upstream_heads::SharedSignals;
 
-/// Requests of the line that are tried for a slot that is free. Those with a prompt as long as one
-/// that found no room are not tried, so that looking costs a few trials.
-const LOOKED_AT: usize = 32;
-/// Requests that may go past one that finds no room: about those that one engine runs at once, so
-/// that it waits for an engine to empty once, and not for ever.
-const MAX_PASSED: u32 = 16;
-/// Output expected of a pool of which nothing is known, in tokens.
-const EXPECTED_OUTPUT: u64 = 256;
-/// When to come back while no runner takes work and none is known to return: announcements come
-/// about once a second, and a runner starts within a few.
+/// Queued requests that are considered when a slot is free. Those with a prompt at least as long
+/// as one of the same kind that did not fit are skipped, so that a scan costs only a few attempts.
+const MAX_CANDIDATES: usize = 32;
+/// Requests that may bypass one that does not fit. This is about the number that one engine runs
+/// at once, so that a large request waits for an engine to drain once instead of starving.
+const MAX_BYPASSES: u32 = 16;
+/// Expected output of a request before any output length was observed, in tokens.
+const DEFAULT_OUTPUT_TOKENS: u64 = 256;
+/// Retry delay while no runner takes work and none has a known time of return: runners announce
+/// themselves about once a second, and one starts within a few seconds.
 const NO_RUNNER_RETRY: Duration = Duration::from_secs(5);
-/// Why a request is refused that finds every runner at its limit.
+/// Cause of a refusal if every eligible runner is at its rate limit.
 pub const AT_LIMIT: &str = "every upstream that could take it is at the limit that it names";
-/// Why a request is refused that finds every runner resting, or at its limit.
+/// Cause of a refusal if every eligible runner is in a rest period or at its rate limit.
 pub const RESTING: &str = "every upstream that could take it asked for rest or is at its limit";
-/// Time over which those come back that are told the end of the same rest: what an upstream gets
-/// then grows with what it answers.
-const REST_SPREAD: Duration = Duration::from_millis(250);
-/// Shortest time to come back after: an earlier return finds the same runners away.
+/// Range of the jitter added to retry delays that end with the same rest period, so that the load
+/// on an upstream rises gradually when the period ends.
+const REST_JITTER: Duration = Duration::from_millis(250);
+/// Shortest retry delay while no runner takes work: an earlier retry would find the same state.
 const MIN_RETRY: Duration = Duration::from_secs(1);
 
-/// A request for a slot on an engine.
+/// A request for a slot on an engine, as sent to the owner of the engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Names the run.
+    /// Id of the run.
     pub id: AttemptId,
-    /// Who asks.
+    /// Workspace that the run is charged to.
     pub workspace: WorkspaceName,
-    /// What it pays for.
+    /// Priority; larger values are served first.
     pub priority: Priority,
-    /// Requests of one kind have outputs of like length.
+    /// Kind of request. Output lengths are assumed to be similar within a kind.
     pub kind: RequestKind,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: u64,
-    /// Bound on the output, in tokens.
+    /// Upper bound on the output, in tokens.
     pub max_tokens: u64,
-    /// Runners that failed this request before.
+    /// Runners that must not be used, because they failed this request before.
     pub avoid: Vec<RunnerName>,
-    /// Failure domain whose runners are preferred while they are not much busier.
+    /// Failure domain whose runners are preferred unless they are much busier.
     #[serde(default)]
     pub near: Option<FailureDomainName>,
-    /// Tokens that are copied from another runner first; 0 for a run that begins.
+    /// Tokens of state to be copied from another runner first; 0 for a new run.
     #[serde(default)]
     pub copied: u64,
-    /// Longest wait, if it is shorter than the pool's.
+    /// Maximum time in the queue, if it is shorter than the pool's.
     #[serde(default)]
     pub max_wait: Option<Duration>,
-    /// Expected wait beyond which the request is refused at once, if it is shorter than the
-    /// pool's.
+    /// Longest expected wait that the request accepts, if it is shorter than the pool's. A longer
+    /// one leads to an immediate refusal.
     #[serde(default)]
     pub accepts: Option<Duration>,
-    /// Failure domains whose runners may run it; all if there are none.
+    /// Failure domains whose runners may run it; empty means all.
     #[serde(default)]
     pub within: Vec<FailureDomainName>,
-    /// Longest wait for runners that are at their limits or rest, if it is shorter than the pool's.
+    /// Maximum wait for runners that are at their rate limits or in a rest period, if it is shorter
+    /// than the pool's.
     #[serde(default)]
     pub limit_wait: Option<Duration>,
-    /// Whether it goes to runners only that name no limit.
+    /// Whether runners that announce a rate limit are excluded.
     #[serde(default)]
     pub skips_limited: bool,
-    /// Whether this box sends it, so that it is bound by rests that runners asked this box for; it
-    /// is never so at another box.
+    /// Whether this box sends the request, so that the rest periods that runners asked of this box
+    /// apply. Not serialized: it is always false at another box.
     #[serde(skip)]
     pub sends_here: bool,
-    /// Whether it could not go elsewhere if its runner turned it away.
+    /// Whether the request cannot be sent to another runner if this one rejects it.
     #[serde(skip)]
     pub only_try: bool,
 }
 
 impl SlotRequest {
-    /// Returns whether the request may run at a runner, as far as it says itself.
+    /// Returns whether the request's own constraints allow a runner.
     pub fn may_run_at(&self, runner: &RunnerName, domain: &FailureDomainName) -> bool {
         !self.avoid.contains(runner) && (self.within.is_empty() || self.within.contains(domain))
     }
@@ -116,12 +117,12 @@
     }
 }
 
-/// A request that was given up on before it ran.
+/// The refusal of a request that was not run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason, as reported to the caller.
     pub cause: String,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
@@ -132,29 +133,29 @@
     }
 }
 
-/// What becomes of a request that comes.
+/// The immediate result of scheduling a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// It runs here, and a slot is taken.
+    /// A slot was taken on this engine.
     Run(RunnerSpec),
-    /// It waits; an [`Answer`] with this ticket follows.
+    /// The request was queued. An [`Answer`] with this ticket follows.
     Wait(Ticket),
-    /// It is turned away.
+    /// The request was refused.
     Refuse(Refusal),
 }
 
-/// What became of a request that waited.
+/// The final result of a queued request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The request's place in the line.
+    /// Ticket of the request in the queue.
     pub ticket: Ticket,
-    /// Names the run.
+    /// Id of the run.
     pub id: AttemptId,
-    /// The engine on which a slot was taken, or why there is none.
+    /// The engine on which a slot was taken, or the refusal.
     pub slot: Result<RunnerSpec, Refusal>,
 }
 
-/// The engines of one pool at one owner, and the requests that wait for them.
+/// Schedules the engines of one pool at one owner, and holds the queue of waiting requests.
 #[derive(Debug, Clone)]
 pub struct PoolScheduler {
     pub(super) table: RunnerTable,
@@ -165,7 +166,7 @@
 }
 
 impl PoolScheduler {
-    /// Creates a line without engines.
+    /// Creates a scheduler without engines.
     pub fn new(admission: AdmissionConfig, routing: RoutingConfig) -> Self {
         Self {
             table: RunnerTable::new(routing),
@@ -176,57 +177,58 @@
         }
     }
 
-    /// Makes the line keep to limits and rests that the whole box knows of.
+    /// Makes the scheduler respect the rate limits and rest periods that all schedulers of the box
+    /// share.
     pub fn with_signals(mut self, signals: SharedSignals) -> Self {
         self.table.share_signals(signals);
         self
     }
 
-    /// Takes the answers to requests that waited, which the last calls gave.
+    /// Takes the answers to queued requests that have accumulated since the last call.
     pub fn take_answers(&mut self) -> Vec<Answer> {
         std::mem::take(&mut self.answers)
     }
 
-    /// Takes a slot if one is free and nobody waits for it.
+    /// Takes a slot if one is free and no queued request goes first.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] if no runner that it asks for takes work; `Ok(None)` means that the
-    /// request would wait.
+    /// Returns a [`Refusal`] if no eligible runner takes work; `Ok(None)` means that the request
+    /// would have to queue.
     pub fn place(
         &mut self,
-        want: &SlotRequest,
+        req: &SlotRequest,
         now: Instant,
     ) -> Result<Option<RunnerSpec>, Refusal> {
-        if !self.table.any_serving_for(&want.asked()) {
-            return Err(self.no_runner(now));
+        if !self.table.any_serving_for(&req.asked()) {
+            return Err(self.no_runner_refusal(now));
         }
-        if self.waits_in_line(want) {
+        if self.must_queue(req) {
             return Ok(None);
         }
-        let Some(spec) = pick(&mut self.table, &self.lengths, want, now) else { return Ok(None) };
-        self.queue.charge(&want.workspace, self.cost(want));
+        let Some(spec) = pick(&mut self.table, &self.lengths, req, now) else { return Ok(None) };
+        self.queue.charge(&req.workspace, self.cost(req));
         Ok(Some(spec))
     }
 
-    /// Takes a slot, or a place in the line, or turns the request away.
-    pub fn decide(&mut self, want: &SlotRequest, now: Instant) -> Decision {
-        match self.place(want, now) {
+    /// Takes a slot for the request, queues it or refuses it.
+    pub fn decide(&mut self, req: &SlotRequest, now: Instant) -> Decision {
+        match self.place(req, now) {
             Ok(Some(spec)) => return Decision::Run(spec),
             Ok(None) => {}
             Err(refusal) => return Decision::Refuse(refusal),
         }
-        if let Some(closed) = self.closed(want, now)
-            && closed.opens_in > want.limit_wait.unwrap_or(Duration::MAX)
+        if let Some(closed) = self.closed(req, now)
+            && closed.opens_in > req.limit_wait.unwrap_or(Duration::MAX)
         {
-            return Decision::Refuse(unavailable_refusal(want, closed));
+            return Decision::Refuse(unavailable_refusal(req, closed));
         }
         let waiter = Waiter {
-            workspace: want.workspace.clone(),
-            priority: want.priority,
-            cost: self.cost(want),
+            workspace: req.workspace.clone(),
+            priority: req.priority,
+            cost: self.cost(req),
             since: now,
-            accepts: want.accepts.unwrap_or(Duration::MAX),
+            accepts: req.accepts.unwrap_or(Duration::MAX),
         };
         let ticket = match self.queue.enqueue(waiter) {
             Enqueued::Waiting(ticket) => ticket,
@@ -235,229 +237,228 @@
                 ticket
             }
             Enqueued::Refused => {
-                let retry_after = self.retry_after(want);
+                let retry_after = self.retry_after(req);
                 let cause = "more wait than can be served in time";
                 return Decision::Refuse(Refusal::new(cause, retry_after));
             }
         };
-        self.waiting.insert(ticket, want.clone());
+        self.waiting.insert(ticket, req.clone());
         Decision::Wait(ticket)
     }
 
-    /// Returns what the request would get at once; nothing is taken.
+    /// Estimates what the request would get now, without taking a slot.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] if no runner that it asks for takes work.
-    pub fn quote(&self, want: &SlotRequest, now: Instant) -> Result<Quote, Refusal> {
-        if !self.table.any_serving_for(&want.asked()) {
-            return Err(self.no_runner(now));
+    /// Returns a [`Refusal`] if no eligible runner takes work.
+    pub fn quote(&self, req: &SlotRequest, now: Instant) -> Result<Quote, Refusal> {
+        if !self.table.any_serving_for(&req.asked()) {
+            return Err(self.no_runner_refusal(now));
         }
-        let busy = Quote::Busy(self.expected_wait(want, now));
-        if self.waits_in_line(want) {
+        let busy = Quote::Busy(self.expected_wait(req, now));
+        if self.must_queue(req) {
             return Ok(busy);
         }
-        let load = self.table.quote(&want.asked(), &want.candidate(), &self.lengths, now);
+        let load = self.table.quote(&req.asked(), &req.candidate(), &self.lengths, now);
         Ok(load.map_or(busy, Quote::Room))
     }
 
-    /// Counts a slot that another owner granted, `since` when; returns the engine, unless it
-    /// belongs to another owner.
-    pub fn adopt(
-        &mut self,
-        runner: &str,
-        want: &SlotRequest,
-        since: Instant,
-    ) -> Option<RunnerSpec> {
-        let spec = self.table.adopt(runner, &want.asked(), &want.candidate(), since)?;
-        self.queue.charge(&want.workspace, self.cost(want));
+    /// Accounts for a slot that another owner granted at `since`. Returns the engine, or `None` if
+    /// it is not one of this scheduler's.
+    pub fn adopt(&mut self, runner: &str, req: &SlotRequest, since: Instant) -> Option<RunnerSpec> {
+        let spec = self.table.adopt(runner, &req.asked(), &req.candidate(), since)?;
+        self.queue.charge(&req.workspace, self.cost(req));
         Some(spec)
     }
 
-    /// Gives a slot back.
+    /// Releases a slot, and corrects the workspace's charge by the reported output.
     pub fn release(
         &mut self,
         runner: &str,
-        want: &SlotRequest,
+        req: &SlotRequest,
         cost: u64,
         report: RunReport,
         now: Instant,
     ) {
-        self.table.give_back(runner, &want.id, report, now);
+        self.table.give_back(runner, &req.id, report, now);
         if let Some(tokens) = report.tokens {
-            self.lengths.observe(&want.kind, tokens);
-            self.queue.correct(&want.workspace, cost, want.prompt + tokens);
+            self.lengths.observe(&req.kind, tokens);
+            self.queue.correct(&req.workspace, cost, req.prompt + tokens);
         }
-        self.pump(now);
+        self.schedule_queued(now);
     }
 
-    /// Gives back a slot that was not used, and what it was charged for.
-    pub fn release_unused(&mut self, runner: &str, want: &SlotRequest, cost: u64, now: Instant) {
-        self.queue.correct(&want.workspace, cost, 0);
-        self.release_abandoned(runner, &want.id, now);
+    /// Releases a slot that was not used, and refunds its charge.
+    pub fn release_unused(&mut self, runner: &str, req: &SlotRequest, cost: u64, now: Instant) {
+        self.queue.correct(&req.workspace, cost, 0);
+        self.release_abandoned(runner, &req.id, now);
     }
 
-    /// Gives back a slot whose request left before it had it.
+    /// Releases a slot whose request was cancelled before it received the slot. The charge stays.
     pub fn release_abandoned(&mut self, runner: &str, id: &str, now: Instant) {
         self.table.give_back(runner, id, RunReport::RELEASED, now);
-        self.pump(now);
+        self.schedule_queued(now);
     }
 
-    /// Takes a request that stopped waiting out of the line.
+    /// Removes a cancelled request from the queue.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.cancel(ticket);
         self.waiting.remove(&ticket);
     }
 
-    /// Changes the engines, then lets in whoever can run now.
+    /// Applies a change to the engine table, then schedules queued requests.
     pub fn update<T>(&mut self, now: Instant, change: impl FnOnce(&mut RunnerTable) -> T) -> T {
         let changed = change(&mut self.table);
-        self.pump(now);
+        self.schedule_queued(now);
         changed
     }
 
-    /// Changes the bounds of the line.
+    /// Replaces the bounds of the queue.
     pub fn configure(&mut self, cfg: AdmissionConfig) {
         self.queue.configure(cfg);
     }
 
-    /// Refuses who waited too long and lets in who can run; call it a few times a second.
+    /// Refuses requests that have waited too long and schedules those that fit. To be called a few
+    /// times a second.
     pub fn tick(&mut self, now: Instant) {
         for ticket in self.queue.expire(now) {
             self.refuse(ticket, "waited as long as the pool allows");
         }
         if !self.table.any_serving() {
-            let refusal = self.no_runner(now);
-            for (ticket, want) in std::mem::take(&mut self.waiting) {
+            let refusal = self.no_runner_refusal(now);
+            for (ticket, req) in std::mem::take(&mut self.waiting) {
                 self.queue.cancel(ticket);
-                self.answers.push(Answer { ticket, id: want.id, slot: Err(refusal.clone()) });
+                self.answers.push(Answer { ticket, id: req.id, slot: Err(refusal.clone()) });
             }
         }
-        self.pump(now);
+        self.schedule_queued(now);
         self.refuse_closed(now);
     }
 
-    /// Returns how long a request would wait.
-    pub fn expected_wait(&self, want: &SlotRequest, now: Instant) -> Duration {
-        let in_line = self.queue.expected_wait(&want.workspace, want.priority);
-        self.closed(want, now).map_or(in_line, |closed| closed.opens_in.max(in_line))
+    /// Returns the expected wait of a request.
+    pub fn expected_wait(&self, req: &SlotRequest, now: Instant) -> Duration {
+        let in_queue = self.queue.expected_wait(&req.workspace, req.priority);
+        self.closed(req, now).map_or(in_queue, |closed| closed.opens_in.max(in_queue))
     }
 
-    /// Returns how long a request would wait for runners that are at their limits or rest, if all
-    /// are that could run it.
-    fn closed(&self, want: &SlotRequest, now: Instant) -> Option<Closed> {
-        let mut closed = self.table.closed(&want.asked(), now)?;
-        closed.opens_in += self.queue.expected_wait(&want.workspace, want.priority);
+    /// Returns when a runner becomes available, if all eligible ones are at their rate limits or in
+    /// a rest period. The time includes the expected wait in the queue.
+    fn closed(&self, req: &SlotRequest, now: Instant) -> Option<Closed> {
+        let mut closed = self.table.closed(&req.asked(), now)?;
+        closed.opens_in += self.queue.expected_wait(&req.workspace, req.priority);
         Some(closed)
     }
 
-    /// Returns when a refused caller may come back.
-    pub fn retry_after(&self, want: &SlotRequest) -> Duration {
-        self.queue.retry_after(&want.workspace, want.priority)
+    /// Returns the retry delay for a refused request.
+    pub fn retry_after(&self, req: &SlotRequest) -> Duration {
+        self.queue.retry_after(&req.workspace, req.priority)
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns the tokens that a request is expected to cost.
-    pub fn cost(&self, want: &SlotRequest) -> u64 {
-        want.prompt + self.lengths.mean(EXPECTED_OUTPUT).min(want.max_tokens)
+    /// Returns the expected cost of a request, in tokens of prompt and output.
+    pub fn cost(&self, req: &SlotRequest) -> u64 {
+        req.prompt + self.lengths.mean(DEFAULT_OUTPUT_TOKENS).min(req.max_tokens)
     }
 
-    /// Returns whether others go first. A running generation that is moved goes past the line: its
-    /// stream would stand still, and its engine is gone within seconds.
-    fn waits_in_line(&self, want: &SlotRequest) -> bool {
-        want.copied == 0 && !self.queue.is_empty()
+    /// Returns whether queued requests go first. A running generation that is migrated bypasses the
+    /// queue: its stream would stall, and its engine shuts down within seconds.
+    fn must_queue(&self, req: &SlotRequest) -> bool {
+        req.copied == 0 && !self.queue.is_empty()
     }
 
-    /// Lets in whoever is next for as long as there is room.
-    fn pump(&mut self, now: Instant) {
+    /// Schedules queued requests until none of them fits.
+    fn schedule_queued(&mut self, now: Instant) {
         self.queue.age(now);
         while let Some((ticket, spec)) = self.next_fitting(now) {
             self.queue.grant_to(ticket, now);
-            let Some(want) = self.waiting.remove(&ticket) else { continue };
-            self.answers.push(Answer { ticket, id: want.id, slot: Ok(spec) });
+            let Some(req) = self.waiting.remove(&ticket) else { continue };
+            self.answers.push(Answer { ticket, id: req.id, slot: Ok(spec) });
         }
     }
 
-    /// Finds the first request of the order that an engine has room for, and takes a slot for it.
+    /// Finds the first queued request, in service order, that fits on an engine, and takes a slot
+    /// for it.
     fn next_fitting(&mut self, now: Instant) -> Option<(Ticket, RunnerSpec)> {
-        // Requests that found no room, and kinds and prompts of those that were tried.
-        let mut without_room: Vec<Ticket> = Vec::new();
-        let mut too_long: Vec<(&RequestKind, u64)> = Vec::new();
-        let candidates: Vec<Ticket> = self.queue.candidates().take(LOOKED_AT).collect();
+        // Requests that did not fit, and the kinds and prompt lengths of those that were tried.
+        let mut unfit: Vec<Ticket> = Vec::new();
+        let mut too_long_prompts: Vec<(&RequestKind, u64)> = Vec::new();
+        let candidates: Vec<Ticket> = self.queue.candidates().take(MAX_CANDIDATES).collect();
         for ticket in candidates {
-            let Some(want) = self.waiting.get(&ticket) else { continue };
-            let hopeless =
-                too_long.iter().any(|(kind, prompt)| **kind == want.kind && *prompt <= want.prompt);
-            if !hopeless {
-                if let Some(spec) = pick(&mut self.table, &self.lengths, want, now) {
-                    self.queue.note_passed(&without_room);
+            let Some(req) = self.waiting.get(&ticket) else { continue };
+            let known_too_long = too_long_prompts
+                .iter()
+                .any(|(kind, prompt)| **kind == req.kind && *prompt <= req.prompt);
+            if !known_too_long {
+                if let Some(spec) = pick(&mut self.table, &self.lengths, req, now) {
+                    self.queue.note_passed(&unfit);
                     return Some((ticket, spec));
                 }
-                if want.avoid.is_empty() && want.within.is_empty() {
-                    too_long.push((&want.kind, want.prompt));
+                if req.avoid.is_empty() && req.within.is_empty() {
+                    too_long_prompts.push((&req.kind, req.prompt));
                 }
             }
-            if self.queue.passed(ticket) >= MAX_PASSED {
+            if self.queue.passed(ticket) >= MAX_BYPASSES {
                 return None;
             }
-            without_room.push(ticket);
+            unfit.push(ticket);
         }
         None
     }
 
     fn refuse(&mut self, ticket: Ticket, cause: &str) {
-        if let Some(want) = self.waiting.remove(&ticket) {
-            let retry_after = self.retry_after(&want);
+        if let Some(req) = self.waiting.remove(&ticket) {
+            let retry_after = self.retry_after(&req);
             let slot = Err(Refusal::new(cause, retry_after));
-            self.answers.push(Answer { ticket, id: want.id, slot });
+            self.answers.push(Answer { ticket, id: req.id, slot });
         }
     }
 
-    /// Refuses who has waited in vain for as long as it may for runners at their limits or at rest:
-    /// other boxes may take each permit before this line looks.
+    /// Refuses requests whose maximum wait for runners at their rate limits or in a rest period is
+    /// refused. The estimate on arrival does not suffice: other boxes may take every permit first.
     fn refuse_closed(&mut self, now: Instant) {
-        let has_waited = |(ticket, want): (&Ticket, &SlotRequest)| {
+        let expired = |(ticket, req): (&Ticket, &SlotRequest)| {
             let waited = self.queue.waited(*ticket, now)?;
-            let longest = want.limit_wait?;
-            let closed = self.closed(want, now).filter(|_| waited >= longest)?;
+            let longest = req.limit_wait?;
+            let closed = self.closed(req, now).filter(|_| waited >= longest)?;
             Some((*ticket, closed))
         };
-        let over: Vec<(Ticket, Closed)> = self.waiting.iter().filter_map(has_waited).collect();
-        for (ticket, closed) in over {
+        let refused: Vec<(Ticket, Closed)> = self.waiting.iter().filter_map(expired).collect();
+        for (ticket, closed) in refused {
             self.queue.cancel(ticket);
-            if let Some(want) = self.waiting.remove(&ticket) {
-                let slot = Err(unavailable_refusal(&want, closed));
-                self.answers.push(Answer { ticket, id: want.id, slot });
+            if let Some(req) = self.waiting.remove(&ticket) {
+                let slot = Err(unavailable_refusal(&req, closed));
+                self.answers.push(Answer { ticket, id: req.id, slot });
             }
         }
     }
 
-    fn no_runner(&self, now: Instant) -> Refusal {
+    fn no_runner_refusal(&self, now: Instant) -> Refusal {
         let until = self.table.next_return().map(|at| at.saturating_duration_since(now));
         let retry_after = until.unwrap_or(NO_RUNNER_RETRY).max(MIN_RETRY);
         Refusal::new("no runner of the pool takes work", retry_after)
     }
 }
 
-/// Refuses a request to which all runners are closed.
-pub fn unavailable_refusal(want: &SlotRequest, closed: Closed) -> Refusal {
+/// Returns the refusal of a request for which no eligible runner is available before
+/// `closed.opens_in`. The retry delay after a rest period is jittered by the id of the run.
+pub fn unavailable_refusal(req: &SlotRequest, closed: Closed) -> Refusal {
     if !closed.rests {
         return Refusal::new(AT_LIMIT, closed.opens_in);
     }
-    let part = XxHash64::oneshot(0, want.id.as_bytes()) as f64 / u64::MAX as f64;
-    Refusal::new(RESTING, closed.opens_in + REST_SPREAD.mul_f64(part))
+    let fraction = XxHash64::oneshot(0, req.id.as_bytes()) as f64 / u64::MAX as f64;
+    Refusal::new(RESTING, closed.opens_in + REST_JITTER.mul_f64(fraction))
 }
 
-/// Takes a slot on the best of the engines that have room for a request.
+/// Takes a slot on the best engine that the request fits on.
 fn pick(
     table: &mut RunnerTable,
     lengths: &LengthModel,
-    want: &SlotRequest,
+    req: &SlotRequest,
     now: Instant,
 ) -> Option<RunnerSpec> {
-    table.pick(&want.asked(), &want.candidate(), lengths, now)
+    table.pick(&req.asked(), &req.candidate(), lengths, now)
 }
--- a/crates/hatchpitch/src/dispatch/search.rs
+++ b/crates/hatchpitch/src/dispatch/search.rs
@@ -1,130 +1,131 @@
-//! Which owners a request asks for a slot, and what follows from what they say.
+//! Chooses the owners that a request asks for a slot, and evaluates their replies.
 //!
-//! Load patterns answered: callers that move from one failure domain to another, and engines
-//! that leave faster in one than in another. Some near and some far owners are asked how busy
-//! they are, so that work spills over before it waits; the cost of the distance is part of what
-//! an owner quotes. How many are asked does not grow with the fleet.
+//! Handles demand that shifts between failure domains, and failure domains that lose engines at
+//! different rates. A request asks a few owners inside and outside of its failure domain for
+//! their load, so that work spills over before it queues; an owner's quote includes the cost of
+//! the distance. The number of owners asked does not grow with the fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::scheduler::Refusal;
 
-/// Owners of the request's own failure domain that are asked for quotes in one round: two
-/// choices take most of the gain, more cost bytes.
-const NEAR_QUOTED: usize = 2;
-/// Owners elsewhere that are asked in one round: as many, so that a failure domain whose engines
-/// are full finds room outside as fast as inside.
-const FAR_QUOTED: usize = 2;
-/// Rounds of quotes before a request waits. The second one finds room for most requests whose
-/// first one met only full owners, and costs one more round trip of a few ms.
-const ROUNDS: u32 = 2;
-/// Owners with room that may turn a request away before it waits: each of them filled up between
-/// its quote and the request, so that more tries would lose the same race.
-const TAKES: usize = 3;
+/// Owners in the request's own failure domain that are asked for quotes per round. Two choices
+/// give most of the benefit of load-aware balancing; more only add traffic.
+const NEAR_QUOTES_PER_ROUND: usize = 2;
+/// Owners in other failure domains that are asked for quotes per round: the same number, so that
+/// requests of a full failure domain find capacity outside as fast as inside.
+const FAR_QUOTES_PER_ROUND: usize = 2;
+/// Rounds of quotes before a request queues. The second round finds capacity for most requests
+/// that met only full owners in the first, and costs one more round trip of a few ms.
+const MAX_QUOTE_ROUNDS: u32 = 2;
+/// Attempts to take a slot at an owner that quoted capacity, before the request queues. Each
+/// failed attempt lost a race between quote and request; further ones would likely lose it too.
+const MAX_TAKE_ATTEMPTS: usize = 3;
 
-/// An owner that a request may ask.
+/// An owner that a request may ask for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerChoice {
-    /// The box.
+    /// Address of the owner.
     pub addr: SocketAddr,
-    /// Engines that it decides for; an owner of more is asked as often as it has more.
+    /// Number of engines that it owns; the probability of being asked grows with it.
     pub engines: usize,
-    /// Whether it owns engines in the request's own failure domain.
+    /// Whether it owns engines in the request's failure domain.
     pub near: bool,
 }
 
-/// What a request would get from an owner at once.
+/// An owner's estimate for a request; nothing is reserved.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Quote {
-    /// A slot on an engine with this load: share of slots and memory in use, and seconds of
-    /// prompts to be read.
+    /// A slot is free, on an engine with this load: the share of slots and memory in use, plus
+    /// the seconds of prompt processing that are queued.
     Room(f64),
-    /// A place in the line, with this expected wait.
+    /// The request would queue for about this long.
     Busy(Duration),
 }
 
-/// What a request does next.
+/// The next action of a [`Search`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// It asks these owners for quotes, all at once.
+    /// Ask these owners for quotes concurrently.
     Quote(Vec<SocketAddr>),
-    /// It asks this owner for a slot at once.
+    /// Ask this owner for a slot without queueing.
     Take(SocketAddr),
-    /// It waits at this owner.
+    /// Queue at this owner.
     Wait(SocketAddr),
-    /// It is turned away.
+    /// Refuse the request.
     Refuse(Refusal),
-    /// No owner answers: its own box decides for itself.
+    /// No owner answered: the request's own box schedules it.
     DecideLocally,
 }
 
-/// One request's search for a slot.
+/// The search of one request for a slot.
 #[derive(Debug, Clone)]
 pub struct Search {
-    /// Owners not yet asked, in the order in which they are; near ones, and the others.
+    /// Owners in the request's failure domain that have not been asked; the next one is last.
     near: Vec<SocketAddr>,
+    /// Owners in other failure domains that have not been asked; the next one is last.
     far: Vec<SocketAddr>,
-    /// Owners with room, the least loaded one last.
-    rooms: Vec<(f64, SocketAddr)>,
-    /// Owners without room, and their expected waits.
+    /// Owners that quoted a free slot, with their load; the least loaded one is last.
+    available: Vec<(f64, SocketAddr)>,
+    /// Owners without a free slot, with their expected wait.
     busy: Vec<(Duration, SocketAddr)>,
     rounds: u32,
-    takes: usize,
-    /// Expected wait beyond which the request is refused.
+    take_attempts: usize,
+    /// Longest expected wait that the request accepts.
     accepts: Duration,
     refused: Option<Refusal>,
 }
 
 impl Search {
-    /// Prepares to ask `owners`, in an order that `draw` decides. Without `quotes`, each one is
-    /// taken to have room.
+    /// Creates a search over `owners`, in the order given by the random numbers of `draw`. If
+    /// `quotes` is false, all owners are assumed to have a free slot.
     pub fn new(
         owners: impl IntoIterator<Item = OwnerChoice>,
         accepts: Duration,
         quotes: bool,
         mut draw: impl FnMut() -> u64,
     ) -> Self {
-        let mut drawn: Vec<(u64, OwnerChoice)> = Vec::new();
+        let mut ranked: Vec<(u64, OwnerChoice)> = Vec::new();
         for owner in owners {
-            let best = (0..owner.engines).map(|_| draw()).max();
-            drawn.extend(best.map(|best| (best, owner)));
+            let rank = (0..owner.engines).map(|_| draw()).max();
+            ranked.extend(rank.map(|rank| (rank, owner)));
         }
-        drawn.sort_unstable_by_key(|(best, owner)| (*best, owner.addr));
-        let (near, far): (Vec<_>, Vec<_>) = drawn.into_iter().partition(|(_, owner)| owner.near);
+        ranked.sort_unstable_by_key(|(rank, owner)| (*rank, owner.addr));
+        let (near, far): (Vec<_>, Vec<_>) = ranked.into_iter().partition(|(_, owner)| owner.near);
         let addrs = |owners: Vec<(u64, OwnerChoice)>| -> Vec<SocketAddr> {
             owners.into_iter().map(|(_, owner)| owner.addr).collect()
         };
         let mut search = Self {
             near: addrs(near),
             far: addrs(far),
-            rooms: Vec::new(),
+            available: Vec::new(),
             busy: Vec::new(),
             rounds: 0,
-            takes: 0,
+            take_attempts: 0,
             accepts,
             refused: None,
         };
         if !quotes {
-            search.rooms =
-                search.far.drain(..).chain(search.near.drain(..)).map(|o| (0.0, o)).collect();
+            search.available =
+                search.far.drain(..).chain(search.near.drain(..)).map(|addr| (0.0, addr)).collect();
         }
         search
     }
 
-    /// Returns what to do next; what comes of it is told by one of the `heard` functions.
+    /// Returns the next action. The caller reports its result through one of the `record` methods.
     pub fn step(&mut self) -> Step {
         if let Some(refusal) = self.refused.take() {
             return Step::Refuse(refusal);
         }
-        if self.takes < TAKES
-            && let Some((_, owner)) = self.rooms.pop()
+        if self.take_attempts < MAX_TAKE_ATTEMPTS
+            && let Some((_, owner)) = self.available.pop()
         {
-            self.takes += 1;
+            self.take_attempts += 1;
             return Step::Take(owner);
         }
-        if self.rounds < ROUNDS || self.busy.is_empty() {
-            let asked = self.next_round();
+        if self.rounds < MAX_QUOTE_ROUNDS || self.busy.is_empty() {
+            let asked = self.next_owners();
             if !asked.is_empty() {
                 self.rounds += 1;
                 return Step::Quote(asked);
@@ -140,33 +141,33 @@
         }
     }
 
-    /// Takes in quotes; an owner that did not answer is left out.
+    /// Records quotes. Owners that did not answer are omitted by the caller.
     pub fn record_quotes(&mut self, quotes: impl IntoIterator<Item = (SocketAddr, Quote)>) {
         for (owner, quote) in quotes {
             match quote {
-                Quote::Room(load) => self.rooms.push((load, owner)),
+                Quote::Room(load) => self.available.push((load, owner)),
                 Quote::Busy(wait) => self.busy.push((wait, owner)),
             }
         }
-        self.rooms.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
+        self.available.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
     }
 
-    /// Notes that an owner has no room after all.
+    /// Records that an owner had no free slot when it was asked for one.
     pub fn record_busy(&mut self, owner: SocketAddr, wait: Duration) {
         self.busy.push((wait, owner));
     }
 
-    /// Notes that the owner at which the request waited gave it up.
+    /// Records that the owner at which the request queued refused it.
     pub fn record_refusal(&mut self, refusal: Refusal) {
         self.refused = Some(refusal);
     }
 
-    fn next_round(&mut self) -> Vec<SocketAddr> {
+    fn next_owners(&mut self) -> Vec<SocketAddr> {
         let take = |from: &mut Vec<SocketAddr>, count: usize| {
             from.split_off(from.len().saturating_sub(count))
         };
-        let mut asked = take(&mut self.near, NEAR_QUOTED);
-        asked.extend(take(&mut self.far, FAR_QUOTED));
+        let mut asked = take(&mut self.near, NEAR_QUOTES_PER_ROUND);
+        asked.extend(take(&mut self.far, FAR_QUOTES_PER_ROUND));
         asked
     }
 }
--- a/crates/hatchpitch/src/dispatch/verify.rs
+++ b/crates/hatchpitch/src/dispatch/verify.rs
@@ -3,15 +3,15 @@
 use super::scheduler::PoolScheduler;
 use crate::{admission, routing};
 
-/// Checks a line, its queue and its engines.
+/// Checks a scheduler, its queue and its engine table.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
-pub fn verify(line: &PoolScheduler) -> Result<(), String> {
-    admission::verify::verify(&line.queue)?;
-    routing::verify::verify(&line.table)?;
-    if !line.queue.tickets().eq(line.waiting.keys().copied()) {
+/// Returns a description of the violated invariant.
+pub fn verify(scheduler: &PoolScheduler) -> Result<(), String> {
+    admission::verify::verify(&scheduler.queue)?;
+    routing::verify::verify(&scheduler.table)?;
+    if !scheduler.queue.tickets().eq(scheduler.waiting.keys().copied()) {
         return Err("the queue and the requests that wait differ".to_owned());
     }
     Ok(())
--- a/crates/hatchpitch/tests/scheduler.rs
+++ b/crates/hatchpitch/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Who goes next when not everybody finds room: a line before one engine.
+//! Service order of the queue before a single engine whose memory does not fit every request.
 
 use std::time::{Duration, Instant};
 
@@ -11,10 +11,10 @@
 const MS: Duration = Duration::from_millis(1);
 /// Memory of the engine, in tokens.
 const MEMORY: u64 = 10_000;
-/// Time that an engine takes to read what one request brings here.
-const READ: Duration = Duration::from_secs(2);
+/// Time after which the engine has processed the prompt of any request in these tests.
+const PROMPT_TIME: Duration = Duration::from_secs(2);
 
-fn want(id: u64, prompt: u64) -> SlotRequest {
+fn request(id: u64, prompt: u64) -> SlotRequest {
     SlotRequest {
         id: id.to_string(),
         workspace: (id % 50).to_string(),
@@ -27,11 +27,11 @@
     }
 }
 
-/// An owner of one engine whose memory takes prompts up to its size.
-fn line(now: Instant) -> PoolScheduler {
+/// Creates a scheduler of one engine, whose memory admits prompts up to its full size.
+fn scheduler(now: Instant) -> PoolScheduler {
     let routing = RoutingConfig { memory: MemoryPolicy::Watermark(1.0), ..Default::default() };
     let admission = AdmissionConfig { oldest_every: u64::MAX, ..AdmissionConfig::default() };
-    let mut line = PoolScheduler::new(admission, routing);
+    let mut scheduler = PoolScheduler::new(admission, routing);
     let spec = RunnerSpec {
         name: "e".to_owned(),
         addr: ([10, 0, 0, 1], 1).into(),
@@ -40,86 +40,90 @@
         memory: Some(MEMORY),
         copy_rate: f64::INFINITY,
     };
-    line.update(now, |table| table.sync([spec]));
-    line
+    scheduler.update(now, |table| table.sync([spec]));
+    scheduler
 }
 
-fn takes(line: &mut PoolScheduler, want: &SlotRequest, now: Instant) {
-    assert!(matches!(line.decide(want, now), Decision::Run(_)), "{}", want.id);
+fn expect_run(scheduler: &mut PoolScheduler, request: &SlotRequest, now: Instant) {
+    assert!(matches!(scheduler.decide(request, now), Decision::Run(_)), "{}", request.id);
 }
 
-fn waits(line: &mut PoolScheduler, want: &SlotRequest, now: Instant) {
-    assert!(matches!(line.decide(want, now), Decision::Wait(_)), "{}", want.id);
+fn expect_wait(scheduler: &mut PoolScheduler, request: &SlotRequest, now: Instant) {
+    assert!(matches!(scheduler.decide(request, now), Decision::Wait(_)), "{}", request.id);
 }
 
-fn gives_back(line: &mut PoolScheduler, want: &SlotRequest, now: Instant) {
+fn release(scheduler: &mut PoolScheduler, request: &SlotRequest, now: Instant) {
     let report = RunReport { verdict: Verdict::Succeeded, tokens: None, first: None };
-    line.release("e", want, want.prompt, report, now);
+    scheduler.release("e", request, request.prompt, report, now);
 }
 
-/// Returns who was let in since the last time.
-fn let_in(line: &mut PoolScheduler) -> Vec<String> {
-    verify::verify(line).unwrap();
-    let answers = line.take_answers().into_iter();
+/// Returns the ids of the queued requests that got a slot since the last call.
+fn scheduled(scheduler: &mut PoolScheduler) -> Vec<String> {
+    verify::verify(scheduler).unwrap();
+    let answers = scheduler.take_answers().into_iter();
     answers.filter(|answer| answer.slot.is_ok()).map(|Answer { id, .. }| id).collect()
 }
 
 #[test]
-fn one_that_finds_no_room_lets_smaller_ones_go_past_it() {
+fn smaller_requests_bypass_one_that_does_not_fit() {
     let now = Instant::now();
-    let mut line = line(now);
-    let runs = want(1, 6_000);
-    takes(&mut line, &runs, now);
-    let later = now + READ;
-    waits(&mut line, &want(2, 6_000), later);
-    waits(&mut line, &want(3, 7_000), later);
-    waits(&mut line, &want(4, 1_000), later);
-    line.tick(later);
-    assert_eq!(let_in(&mut line), ["4"]);
-    gives_back(&mut line, &runs, later + READ);
-    assert_eq!(let_in(&mut line), ["2"], "the first that waited gets the room that it waited for");
+    let mut scheduler = scheduler(now);
+    let running = request(1, 6_000);
+    expect_run(&mut scheduler, &running, now);
+    let later = now + PROMPT_TIME;
+    expect_wait(&mut scheduler, &request(2, 6_000), later);
+    expect_wait(&mut scheduler, &request(3, 7_000), later);
+    expect_wait(&mut scheduler, &request(4, 1_000), later);
+    scheduler.tick(later);
+    assert_eq!(scheduled(&mut scheduler), ["4"]);
+    release(&mut scheduler, &running, later + PROMPT_TIME);
+    assert_eq!(
+        scheduled(&mut scheduler),
+        ["2"],
+        "the oldest queued request gets the memory that was released"
+    );
 }
 
 #[test]
-fn no_more_than_a_few_go_past_one_that_finds_no_room() {
+fn bypasses_of_a_request_that_does_not_fit_are_limited() {
     let mut now = Instant::now();
-    let mut line = line(now);
-    let runs = want(1, 6_000);
-    takes(&mut line, &runs, now);
-    now += READ;
-    let large = SlotRequest { accepts: None, ..want(2, 9_500) };
-    waits(&mut line, &large, now);
-    // Small ones come for as long as they like, and end soon.
-    let mut past = 0;
+    let mut scheduler = scheduler(now);
+    let running = request(1, 6_000);
+    expect_run(&mut scheduler, &running, now);
+    now += PROMPT_TIME;
+    let large = SlotRequest { accepts: None, ..request(2, 9_500) };
+    expect_wait(&mut scheduler, &large, now);
+    // A steady stream of small requests, each of which ends at once.
+    let mut bypassed = 0;
     for id in 100..140 {
-        let small = SlotRequest { accepts: None, ..want(id, 100) };
-        waits(&mut line, &small, now);
-        line.tick(now);
-        for id in let_in(&mut line) {
-            past += 1;
-            gives_back(&mut line, &want(id.parse().unwrap(), 100), now);
+        let small = SlotRequest { accepts: None, ..request(id, 100) };
+        expect_wait(&mut scheduler, &small, now);
+        scheduler.tick(now);
+        for id in scheduled(&mut scheduler) {
+            bypassed += 1;
+            release(&mut scheduler, &request(id.parse().unwrap(), 100), now);
         }
         now += 300 * MS;
     }
-    past += let_in(&mut line).len();
-    assert!((8..=17).contains(&past), "{past} of 40");
-    gives_back(&mut line, &runs, now);
-    assert_eq!(let_in(&mut line).first().map(String::as_str), Some("2"));
+    bypassed += scheduled(&mut scheduler).len();
+    assert!((8..=17).contains(&bypassed), "{bypassed} of 40");
+    release(&mut scheduler, &running, now);
+    assert_eq!(scheduled(&mut scheduler).first().map(String::as_str), Some("2"));
 }
 
 #[test]
-fn those_that_are_late_already_go_after_those_that_can_be_in_time() {
+fn late_requests_are_served_after_those_that_are_on_time() {
     let mut now = Instant::now();
-    let mut line = line(now);
-    let runs = want(1, 9_900);
-    takes(&mut line, &runs, now);
-    now += READ;
-    waits(&mut line, &want(2, 5_000), now);
+    let mut scheduler = scheduler(now);
+    let running = request(1, 9_900);
+    expect_run(&mut scheduler, &running, now);
+    now += PROMPT_TIME;
+    expect_wait(&mut scheduler, &request(2, 5_000), now);
     now += Duration::from_secs(1);
-    waits(&mut line, &want(3, 6_000), now);
-    gives_back(&mut line, &runs, now);
-    assert_eq!(let_in(&mut line), ["3"]);
-    now += READ;
-    gives_back(&mut line, &want(3, 6_000), now);
-    assert_eq!(let_in(&mut line), ["2"], "a late answer is better than none");
+    expect_wait(&mut scheduler, &request(3, 6_000), now);
+    release(&mut scheduler, &running, now);
+    assert_eq!(scheduled(&mut scheduler), ["3"]);
+    now += PROMPT_TIME;
+    release(&mut scheduler, &request(3, 6_000), now);
+    assert_eq!(scheduled(&mut scheduler), ["2"], "a late answer is better than none");
 }
