--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -14,7 +14,7 @@
 use crate::grants::task::obtain;
 use crate::ids::{FailureDomainName, RunnerName, ServiceName, new_id};
 use crate::registry::UpstreamRecord;
-use crate::relay::dialect::{CopyAnswer, CopyFailure, CopyOrder};
+use crate::relay::protocol::{CopyAnswer, CopyFailure, CopyOrder};
 use crate::relay::{HostedRequest, Relay};
 use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
@@ -193,7 +193,7 @@
     async fn copy(&self, to: SocketAddr, stop: bool) -> Result<CopyAnswer, CopyFailure> {
         let order = CopyOrder { request: self.req.id.clone(), to, stop };
         let upstream = self.relay.cx.upstream(self.leaver.addr);
-        let copied = (self.relay.dialect.copy)(upstream, order);
+        let copied = (self.relay.protocol.copy)(upstream, order);
         let sent = clock::now();
         match compio::time::timeout(COPY_LIMIT, copied).await {
             Ok(reply) => {
--- a/crates/hatchpitch/src/relay/budget.rs
+++ b/crates/hatchpitch/src/relay/budget.rs
@@ -32,14 +32,14 @@
 
 /// This box's part of the budgets, one a service.
 #[derive(Debug)]
-pub struct SharedBudgets {
+pub struct RetryBudgets {
     limits: RetryLimits,
     /// Most boxes known at once in this life.
     boxes: usize,
     saved: HashMap<ServiceName, f64>,
 }
 
-impl SharedBudgets {
+impl RetryBudgets {
     /// Creates full budgets.
     pub fn new(limits: RetryLimits) -> Self {
         Self { limits, boxes: ASSUMED_BOXES, saved: HashMap::new() }
--- a/crates/hatchpitch/src/relay/mod.rs
+++ b/crates/hatchpitch/src/relay/mod.rs
@@ -7,14 +7,14 @@
 
 pub mod answer;
 pub mod budget;
-pub mod dialect;
 pub mod events;
 pub mod headers;
+pub mod protocol;
 pub mod request;
 pub mod run;
 pub mod stream;
 
-pub use budget::{RetryLimits, SharedBudgets};
-pub use dialect::{Attempt, Reading, Resume, RunnerDialect};
+pub use budget::{RetryBudgets, RetryLimits};
+pub use protocol::{Attempt, ResponseKind, Resume, RunnerProtocol};
 pub use request::{GenerationNeeds, HostedRequest};
 pub use run::{Relay, serve};
--- a/crates/hatchpitch/src/relay/dialect.rs
+++ b/crates/hatchpitch/src/relay/protocol.rs
@@ -95,7 +95,7 @@
 
 /// What the head of an upstream's answer says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reading {
+pub enum ResponseKind {
     /// It is the answer to this request.
     Answer,
     /// The request was not run and will not be.
@@ -103,18 +103,18 @@
         /// Why.
         cause: String,
         /// Whether another upstream has the address now.
-        other_life: bool,
+        is_replaced: bool,
     },
     /// It is not an answer to this request.
     Foreign(String),
 }
 
-impl Reading {
+impl ResponseKind {
     /// Returns what counts of the signals in a head that reads so.
-    pub fn vouched(&self, signals: HeadSignals) -> HeadSignals {
+    pub fn trusted_signals(&self, signals: HeadSignals) -> HeadSignals {
         match self {
             Self::Answer => signals,
-            Self::NotRun { other_life: false, .. } => signals.of_refusal(),
+            Self::NotRun { is_replaced: false, .. } => signals.of_refusal(),
             Self::NotRun { .. } => HeadSignals::NONE,
             Self::Foreign(_) => signals.of_foreign(),
         }
@@ -124,24 +124,24 @@
 /// Makes the message for one attempt.
 pub type EncodeRequest = dyn Fn(&HostedRequest, &Attempt) -> Request<Body>;
 /// Reads the head of an answer.
-pub type ReadHead = dyn Fn(&HostedRequest, &Parts) -> Reading;
+pub type ReadHead = dyn Fn(&HostedRequest, &Parts) -> ResponseKind;
 /// Has a runner copy a run.
 pub type CopyRun = dyn Fn(Upstream, CopyOrder) -> Copied;
 
 /// Turns requests into messages of the upstreams' protocol and reads the heads of answers.
 #[derive(Clone)]
-pub struct RunnerDialect {
+pub struct RunnerProtocol {
     /// Makes the message for one attempt.
     pub request: Rc<EncodeRequest>,
     /// Reads the head of an answer.
-    pub read: Rc<ReadHead>,
+    pub classify: Rc<ReadHead>,
     /// Headers by which upstreams say something of themselves.
     pub head_names: HeadNames,
     /// Has a runner copy a run.
     pub copy: Rc<CopyRun>,
 }
 
-impl RunnerDialect {
+impl RunnerProtocol {
     /// Reads what a head says of its upstream.
     pub fn signals(&self, head: &Parts) -> HeadSignals {
         HeadSignals::read(&self.head_names, head.status, &head.headers)
--- a/crates/hatchpitch/src/relay/run.rs
+++ b/crates/hatchpitch/src/relay/run.rs
@@ -12,8 +12,8 @@
 use hyper::body::Incoming;
 use rand::Rng;
 
-use super::budget::SharedBudgets;
-use super::dialect::{Attempt, Reading, RunnerDialect};
+use super::budget::RetryBudgets;
+use super::protocol::{Attempt, ResponseKind, RunnerProtocol};
 use super::request::HostedRequest;
 use super::{answer, stream};
 use crate::config::hosted::{HostedRoute, RunPolicy};
@@ -58,9 +58,9 @@
     /// The box.
     pub cx: Rc<EntryCx>,
     /// What upstreams speak.
-    pub dialect: RunnerDialect,
+    pub protocol: RunnerProtocol,
     /// Budgets for second upstreams.
-    pub budgets: RefCell<SharedBudgets>,
+    pub budgets: RefCell<RetryBudgets>,
 }
 
 impl Relay {
@@ -394,7 +394,7 @@
     async fn attempt(&self, mut slot: Slot) -> Result<Response<Body>, Failure> {
         let left = self.req.time_left(clock::now());
         let attempt = Attempt { upstream: slot.runner.clone(), time_left: left, resume: None };
-        let message = (self.relay.dialect.request)(&self.req, &attempt);
+        let message = (self.relay.protocol.request)(&self.req, &attempt);
         self.offered.set(true);
         self.sent_to.borrow_mut().clone_from(&slot.runner);
         let sent_at = clock::now();
@@ -408,18 +408,18 @@
             self.send_failure(&err)
         })?;
         let (parts, body) = res.into_parts();
-        let reading = (self.relay.dialect.read)(&self.req, &parts);
-        let signals = reading.vouched(self.relay.dialect.signals(&parts));
+        let reading = (self.relay.protocol.classify)(&self.req, &parts);
+        let signals = reading.trusted_signals(self.relay.protocol.signals(&parts));
         upstream_heads::note(&self.relay.cx, &slot.runner, signals, sent_at);
         match reading {
-            Reading::Answer => {}
-            Reading::NotRun { cause, other_life } => {
+            ResponseKind::Answer => {}
+            ResponseKind::NotRun { cause, is_replaced } => {
                 self.offered.set(false);
-                let verdict = if other_life { Verdict::Failed } else { Verdict::Released };
+                let verdict = if is_replaced { Verdict::Failed } else { Verdict::Released };
                 slot.finish(verdict, None);
                 return Err(Failure::NotRun { cause, arrived: true });
             }
-            Reading::Foreign(cause) => {
+            ResponseKind::Foreign(cause) => {
                 slot.finish(Verdict::Faulty, None);
                 return Err(Failure::MayHaveRun { cause });
             }
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 
 use super::answer::for_caller;
-use super::dialect::{Attempt, Reading, Resume};
 use super::events::EventSplitter;
+use super::protocol::{Attempt, ResponseKind, Resume};
 use super::request::HostedRequest;
 use super::run::Relay;
 use crate::config::hosted::EngineSpec;
@@ -353,7 +353,7 @@
             resume: Some(Resume { source, handle, after }),
         };
         self.relay.budgets.borrow_mut().spend(&self.service);
-        let message = (self.relay.dialect.request)(&self.req, &attempt);
+        let message = (self.relay.protocol.request)(&self.req, &attempt);
         let sent_at = clock::now();
         let sent = self.relay.cx.upstream(self.slot.addr).send(message, left).await;
         let sent = sent.map_err(|err| {
@@ -363,21 +363,25 @@
             ResumeFailure::from_send(err)
         });
         let (parts, body) = sent?.into_parts();
-        let reading = (self.relay.dialect.read)(&self.req, &parts);
-        let signals = reading.vouched(self.relay.dialect.signals(&parts));
+        let reading = (self.relay.protocol.classify)(&self.req, &parts);
+        let signals = reading.trusted_signals(self.relay.protocol.signals(&parts));
         upstream_heads::note(&self.relay.cx, &self.slot.runner, signals, sent_at);
         match reading {
-            Reading::Answer if parts.status.is_success() => {
+            ResponseKind::Answer if parts.status.is_success() => {
                 self.relay.cx.metrics.count(Count::Relinks, &self.req.route.name);
                 self.is_framed = is_framed(&parts.headers);
                 self.begun = clock::now();
                 Ok(body)
             }
-            Reading::Answer => {
+            ResponseKind::Answer => {
                 Err(ResumeFailure::MayHaveRun(format!("resume answered with {}", parts.status)))
             }
-            Reading::NotRun { cause, .. } => Err(ResumeFailure::NotRun(format!("resume: {cause}"))),
-            Reading::Foreign(cause) => Err(ResumeFailure::MayHaveRun(format!("resume: {cause}"))),
+            ResponseKind::NotRun { cause, .. } => {
+                Err(ResumeFailure::NotRun(format!("resume: {cause}")))
+            }
+            ResponseKind::Foreign(cause) => {
+                Err(ResumeFailure::MayHaveRun(format!("resume: {cause}")))
+            }
         }
     }
 
--- a/crates/hatchpitch/tests/relay.rs
+++ b/crates/hatchpitch/tests/relay.rs
@@ -1,7 +1,7 @@
 //! Parts of the relay: whole events, and the budget that all boxes share.
 
 use hatchpitch::relay::events::EventSplitter;
-use hatchpitch::relay::{RetryLimits, SharedBudgets};
+use hatchpitch::relay::{RetryBudgets, RetryLimits};
 
 fn pass(splitter: &mut EventSplitter, piece: &str) -> String {
     let passed = splitter.push(piece.as_bytes());
@@ -60,7 +60,7 @@
 }
 
 /// Counts the repeats that one box is allowed for `requests` requests, each of which asks for one.
-fn allowed(budgets: &mut SharedBudgets, requests: usize) -> usize {
+fn allowed(budgets: &mut RetryBudgets, requests: usize) -> usize {
     let ask = |_: &usize| {
         budgets.earn("s");
         budgets.take("s")
@@ -74,7 +74,7 @@
     for boxes in [4_usize, 9, 12, 90] {
         let requests = 40;
         let each = || {
-            let mut budgets = SharedBudgets::new(limits);
+            let mut budgets = RetryBudgets::new(limits);
             budgets.set_boxes(boxes);
             allowed(&mut budgets, requests)
         };
@@ -87,7 +87,7 @@
 #[test]
 fn losing_sight_of_boxes_never_raises_a_part() {
     let limits = RetryLimits { ratio: 0.0, slack: 64.0 };
-    let mut budgets = SharedBudgets::new(limits);
+    let mut budgets = RetryBudgets::new(limits);
     budgets.set_boxes(16);
     budgets.set_boxes(1);
     assert_eq!(allowed(&mut budgets, 100), 2);
@@ -96,7 +96,7 @@
 #[test]
 fn what_cannot_be_held_back_leaves_less_for_others() {
     let limits = RetryLimits { ratio: 0.0, slack: 64.0 };
-    let mut budgets = SharedBudgets::new(limits);
+    let mut budgets = RetryBudgets::new(limits);
     budgets.set_boxes(8);
     budgets.spend("s");
     budgets.spend("s");
