--- a/crates/hatchpitch/src/relay/budget.rs
+++ b/crates/hatchpitch/src/relay/budget.rs
@@ -1,86 +1,90 @@
-//! The budget for sending requests to a second upstream, which all boxes share.
+//! Retry budgets of the services, whose bounds hold over all boxes together.
 //!
-//! Each box spends at most its part: a share of the slack that all boxes have
-//! together, and what its own requests earn. A box that knows fewer boxes than
-//! before keeps the smaller part, so losing touch never spends more.
+//! Each box spends at most its share: an equal part of the fleet-wide slack, plus what its own
+//! requests earn. A box that sees fewer boxes than before keeps its smaller share, so a partition
+//! never raises the number of retries.
 
 use std::collections::HashMap;
 
 use crate::ids::ServiceName;
 
-/// Bounds on repeats for one service, over all boxes.
+/// Bounds on the retries of one service, over all boxes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Repeats that each request earns.
+    /// Retries that each request earns.
     pub ratio: f64,
-    /// Repeats that are allowed beyond it. A box's part of them never refills with time, so the
-    /// bound holds for windows of any length.
+    /// Retries that are allowed in addition. A box's share of them does not refill with time, so
+    /// the bound holds for windows of any length.
     pub slack: f64,
 }
 
 impl Default for RetryLimits {
     fn default() -> Self {
-        // A tenth is the usual figure for retry budgets; the slack lets a small fleet retry at all.
+        // A ratio of 0.1 is customary for retry budgets. Without the slack, a small fleet could
+        // hardly retry at all.
         Self { ratio: 0.1, slack: 20.0 }
     }
 }
 
-/// Part of the limits that is used: boxes come and go within a window, and their parts add up.
-const USED_PART: f64 = 0.5;
-/// Boxes that are assumed before any are known.
-const ASSUMED_BOXES: usize = 4;
+/// Fraction of the limits that is used. Boxes that join and leave within a window each have a
+/// share, and the shares add up.
+const USED_FRACTION: f64 = 0.5;
+/// Number of boxes that is assumed until membership is known.
+const INITIAL_BOXES: usize = 4;
 
-/// This box's part of the budgets, one a service.
+/// This box's shares of the retry budgets, by service.
 #[derive(Debug)]
 pub struct RetryBudgets {
     limits: RetryLimits,
-    /// Most boxes known at once in this life.
+    /// Largest number of boxes seen at once since this process started.
     boxes: usize,
-    saved: HashMap<ServiceName, f64>,
+    /// Retries available to each service.
+    balances: HashMap<ServiceName, f64>,
 }
 
 impl RetryBudgets {
-    /// Creates full budgets.
+    /// Creates budgets that are full.
     pub fn new(limits: RetryLimits) -> Self {
-        Self { limits, boxes: ASSUMED_BOXES, saved: HashMap::new() }
+        Self { limits, boxes: INITIAL_BOXES, balances: HashMap::new() }
     }
 
-    /// Notes how many boxes share the budgets.
+    /// Sets the number of boxes that share the budgets. A smaller number than before is ignored.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = self.boxes.max(boxes);
     }
 
-    /// Notes a request, which earns a part of a repeat.
-    pub fn earn(&mut self, service: &str) {
-        let (cap, ratio) = (self.cap(), self.limits.ratio * USED_PART);
-        let saved = self.saved.entry(service.to_owned()).or_insert(cap);
-        *saved = (*saved + ratio).min(cap);
+    /// Credits a request, which earns a fraction of a retry.
+    pub fn credit(&mut self, service: &str) {
+        let (max_balance, ratio) = (self.max_balance(), self.limits.ratio * USED_FRACTION);
+        let balance = self.balances.entry(service.to_owned()).or_insert(max_balance);
+        *balance = (*balance + ratio).min(max_balance);
     }
 
-    /// Returns whether the budget allows a repeat now.
+    /// Returns whether the budget allows a retry now.
     pub fn allows(&self, service: &str) -> bool {
-        self.saved.get(service).copied().unwrap_or(self.cap()) >= 1.0
+        self.balances.get(service).copied().unwrap_or(self.max_balance()) >= 1.0
     }
 
-    /// Takes a repeat; returns whether the budget allows it.
-    pub fn take(&mut self, service: &str) -> bool {
+    /// Withdraws a retry if the budget allows it, and returns whether it did.
+    pub fn try_withdraw(&mut self, service: &str) -> bool {
         let allowed = self.allows(service);
         if allowed {
-            let cap = self.cap();
-            *self.saved.entry(service.to_owned()).or_insert(cap) -= 1.0;
+            let max_balance = self.max_balance();
+            *self.balances.entry(service.to_owned()).or_insert(max_balance) -= 1.0;
         }
         allowed
     }
 
-    /// Takes a repeat that cannot be held back, which leaves less for others.
-    pub fn spend(&mut self, service: &str) {
-        let cap = self.cap();
-        let saved = self.saved.entry(service.to_owned()).or_insert(cap);
-        *saved = (*saved - 1.0).max(-cap);
+    /// Withdraws a retry that cannot be withheld, even if the balance becomes negative. It leaves
+    /// less for other requests.
+    pub fn force_withdraw(&mut self, service: &str) {
+        let max_balance = self.max_balance();
+        let balance = self.balances.entry(service.to_owned()).or_insert(max_balance);
+        *balance = (*balance - 1.0).max(-max_balance);
     }
 
-    /// Returns what may be saved: this box's part of the slack, and never less than one repeat.
-    fn cap(&self) -> f64 {
-        (self.limits.slack * USED_PART / self.boxes as f64).max(1.0)
+    /// Returns the largest balance: this box's share of the slack, and at least one retry.
+    fn max_balance(&self) -> f64 {
+        (self.limits.slack * USED_FRACTION / self.boxes as f64).max(1.0)
     }
 }
--- a/crates/hatchpitch/src/relay/events.rs
+++ b/crates/hatchpitch/src/relay/events.rs
@@ -1,12 +1,12 @@
-//! Splits a stream into whole events, so that no part of one is ever passed on.
+//! Splits an event stream at event boundaries, so that no partial event is ever forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// The bytes of a stream that do not make a whole event yet, and what was passed.
+/// Buffers the incomplete event at the end of a stream, and tracks the events that were returned.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
-    /// Bytes at the front that hold no end of an event.
+    /// Length of the prefix of `buf` that is known to contain no event boundary.
     scanned: usize,
     events: u64,
     last_id: Option<String>,
@@ -14,47 +14,47 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in and returns the events that are whole now, as they came.
-    pub fn push(&mut self, piece: &[u8]) -> Option<Bytes> {
-        self.buf.extend_from_slice(piece);
-        let mut whole = 0;
+    /// Appends bytes and returns the events that are complete now, unchanged.
+    pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
+        self.buf.extend_from_slice(chunk);
+        let mut complete = 0;
         let mut at = self.scanned;
         while let Some(end) = event_end(&self.buf, at) {
-            self.note_event(whole, end);
-            whole = end;
+            self.note_event(complete, end);
+            complete = end;
             at = end;
         }
-        if whole == 0 {
+        if complete == 0 {
             self.scanned = self.buf.len().saturating_sub(3);
             return None;
         }
-        let events = self.buf.split_to(whole).freeze();
+        let events = self.buf.split_to(complete).freeze();
         self.scanned = self.buf.len().saturating_sub(3);
         Some(events)
     }
 
-    /// Takes what is left at the regular end of a stream.
-    pub fn rest(&mut self) -> Option<Bytes> {
+    /// Takes the bytes that follow the last complete event, at the regular end of a stream.
+    pub fn take_remainder(&mut self) -> Option<Bytes> {
         (!self.buf.is_empty()).then(|| self.buf.split().freeze())
     }
 
-    /// Returns how many events were whole so far.
+    /// Returns the number of complete events so far.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Returns the id of the last whole event that had one.
+    /// Returns the id of the last complete event that had one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Drops a part of an event, whose whole comes over another link.
-    pub fn drop_part(&mut self) {
+    /// Discards an incomplete event, which the next link sends again in full.
+    pub fn discard_incomplete(&mut self) {
         self.buf.clear();
         self.scanned = 0;
     }
 
-    /// Returns whether an event's number was not above the one before.
+    /// Returns whether the numeric id of any event was not above that of its predecessor.
     pub fn out_of_order(&self) -> bool {
         self.out_of_order
     }
@@ -66,15 +66,16 @@
                 let value = String::from_utf8_lossy(value);
                 let id = value.trim();
                 let number = |id: &str| id.parse::<u64>().ok();
-                let before = self.last_id.as_deref().and_then(number);
-                self.out_of_order |= number(id).is_some_and(|id| before.is_some_and(|b| id <= b));
+                let previous = self.last_id.as_deref().and_then(number);
+                self.out_of_order |=
+                    number(id).is_some_and(|id| previous.is_some_and(|previous| id <= previous));
                 self.last_id = Some(id.to_owned());
             }
         }
     }
 }
 
-/// Returns the position after the first empty line at or after `from`.
+/// Returns the position after the first event boundary, an empty line, at or after `from`.
 fn event_end(buf: &[u8], from: usize) -> Option<usize> {
     (from..buf.len()).find_map(|at| {
         let rest = &buf[at..];
--- a/crates/hatchpitch/src/relay/mod.rs
+++ b/crates/hatchpitch/src/relay/mod.rs
@@ -1,16 +1,16 @@
-//! Passes requests of hosted routes on to upstreams and their answers back, as they come.
+//! Forwards requests of hosted routes to upstreams, and their responses to the callers.
 //!
-//! What may run once is sent on only while no upstream can have begun it; what
-//! may be repeated goes to a second upstream inside a budget that all boxes
-//! share. A stream is passed on event by event, and one that cannot go on ends
-//! without the end of its message.
+//! A request that may run only once goes to another upstream only if none can have started it. A
+//! repeatable one is retried within a budget that all boxes share. A stream is forwarded event by
+//! event; one that cannot continue is aborted without the terminator of its message, so that the
+//! caller detects that it is incomplete.
 
-pub mod answer;
 pub mod budget;
 pub mod events;
 pub mod headers;
 pub mod protocol;
 pub mod request;
+pub mod response;
 pub mod run;
 pub mod stream;
 
--- a/crates/hatchpitch/src/relay/protocol.rs
+++ b/crates/hatchpitch/src/relay/protocol.rs
@@ -1,4 +1,5 @@
-//! What upstreams of hosted services speak, as functions that an adapter gives.
+//! The protocol spoken to upstreams of hosted services, as a set of functions that an adapter
+//! provides.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,59 +14,60 @@
 use crate::ids::RunnerName;
 use crate::upstream_heads::{HeadNames, HeadSignals};
 
-/// One sending of a request to an upstream.
+/// One attempt to send a request to an upstream.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The life of the upstream that is meant; another one at its address must not run it.
+    /// Id of the addressed upstream instance. A later instance at the same address must not run the
+    /// request.
     pub upstream: RunnerName,
-    /// Time after which the answer is of no use.
+    /// Time until the response is no longer of use.
     pub time_left: Duration,
-    /// The copy from which a stopped run goes on; `None` for a run that begins.
+    /// The copy from which a stopped run resumes; `None` for a new run.
     pub resume: Option<Resume>,
 }
 
-/// Where a stopped run goes on.
+/// The copy from which a stopped run resumes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Resume {
-    /// Where the runner listens that made the copy.
+    /// Address of the runner that made the copy.
     pub source: SocketAddr,
-    /// Name of the copy there.
+    /// Handle of the copy at that runner.
     pub handle: String,
-    /// Id of the last event that was delivered.
+    /// Id of the last event that was delivered to the caller.
     pub after: Option<String>,
 }
 
-/// Asks a runner to copy the memory of a run to another runner.
+/// Asks a runner to copy the state of a run to another runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CopyOrder {
-    /// Id of the request that runs.
+    /// Id of the running request.
     pub request: String,
-    /// Where the other runner listens.
+    /// Address of the target runner.
     pub to: SocketAddr,
-    /// Whether the run stops first, so that the copy is its last.
+    /// Whether the run is stopped first, which makes the copy its final one.
     pub stop: bool,
 }
 
-/// A copy that was made.
+/// A completed copy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CopyAnswer {
-    /// Its name at the source.
+    /// Handle of the copy at the source.
     pub handle: String,
 }
 
-/// Why a copy was not made.
+/// Reason why a copy was not made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CopyFailure {
-    /// The runner has no such run, or none that has made anything yet.
+    /// The runner has no such run, or the run has produced no output yet.
     NoSuchRun,
-    /// A copy of this run is under way.
+    /// Another copy of this run is in progress.
     Busy,
-    /// The other runner has no room or is out of reach.
+    /// The target runner has no capacity or is unreachable.
     NoRoom {
-        /// Name of the memory that stays at the source, if the run was stopped.
+        /// Handle of the state that is kept at the source, if the run was stopped.
         handle: Option<String>,
     },
-    /// Whether the copy was made is not known.
+    /// It is unknown whether the copy was made.
     Unclear(String),
 }
 
@@ -82,35 +84,35 @@
 
 impl std::error::Error for CopyFailure {}
 
-/// What comes of a [`CopyOrder`].
+/// The result of a [`CopyOrder`].
 pub struct CopyReply {
-    /// The copy, or why there is none.
+    /// The copy, or the reason why it was not made.
     pub outcome: Result<CopyAnswer, CopyFailure>,
-    /// What the head of the runner's answer says of it.
+    /// Signals about the runner in the head of its response.
     pub signals: HeadSignals,
 }
 
-/// A [`CopyReply`] that is awaited.
-pub type Copied = LocalBoxFuture<'static, CopyReply>;
+/// A pending [`CopyReply`].
+pub type CopyFuture = LocalBoxFuture<'static, CopyReply>;
 
-/// What the head of an upstream's answer says.
+/// Classification of a response by its head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It is the answer to this request.
+    /// It is the response to this request.
     Answer,
-    /// The request was not run and will not be.
+    /// The upstream did not run the request and will not.
     NotRun {
-        /// Why.
+        /// Reason, for logs and for the caller.
         cause: String,
-        /// Whether another upstream has the address now.
+        /// Whether another upstream instance listens at the address now.
         is_replaced: bool,
     },
-    /// It is not an answer to this request.
+    /// It is not a response to this request. Holds the reason.
     Foreign(String),
 }
 
 impl ResponseKind {
-    /// Returns what counts of the signals in a head that reads so.
+    /// Returns the signals of a head with this classification that can be trusted.
     pub fn trusted_signals(&self, signals: HeadSignals) -> HeadSignals {
         match self {
             Self::Answer => signals,
@@ -121,28 +123,28 @@
     }
 }
 
-/// Makes the message for one attempt.
+/// Encodes a request as the HTTP message of one attempt.
 pub type EncodeRequest = dyn Fn(&HostedRequest, &Attempt) -> Request<Body>;
-/// Reads the head of an answer.
-pub type ReadHead = dyn Fn(&HostedRequest, &Parts) -> ResponseKind;
-/// Has a runner copy a run.
-pub type CopyRun = dyn Fn(Upstream, CopyOrder) -> Copied;
+/// Classifies the head of a response.
+pub type ClassifyHead = dyn Fn(&HostedRequest, &Parts) -> ResponseKind;
+/// Sends a copy order to a runner.
+pub type CopyRun = dyn Fn(Upstream, CopyOrder) -> CopyFuture;
 
-/// Turns requests into messages of the upstreams' protocol and reads the heads of answers.
+/// Encodes requests in the upstreams' protocol and classifies the heads of responses.
 #[derive(Clone)]
 pub struct RunnerProtocol {
-    /// Makes the message for one attempt.
+    /// Encodes a request as the HTTP message of one attempt.
     pub request: Rc<EncodeRequest>,
-    /// Reads the head of an answer.
-    pub classify: Rc<ReadHead>,
-    /// Headers by which upstreams say something of themselves.
+    /// Classifies the head of a response.
+    pub classify: Rc<ClassifyHead>,
+    /// Names of the headers in which upstreams report their state.
     pub head_names: HeadNames,
-    /// Has a runner copy a run.
+    /// Sends a copy order to a runner.
     pub copy: Rc<CopyRun>,
 }
 
 impl RunnerProtocol {
-    /// Reads what a head says of its upstream.
+    /// Extracts the signals about the upstream from the head of a response.
     pub fn signals(&self, head: &Parts) -> HeadSignals {
         HeadSignals::read(&self.head_names, head.status, &head.headers)
     }
--- a/crates/hatchpitch/src/relay/request.rs
+++ b/crates/hatchpitch/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A request of a hosted route, in the product's own words.
+//! The protocol-independent form of a request of a hosted route.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,56 +11,57 @@
 use crate::ids::{Priority, RegionName, WorkspaceName};
 use crate::quarantine::ContentId;
 
-/// What a generation needs of an engine, as far as the caller tells.
+/// Resources that a generation needs, as declared by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GenerationNeeds {
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: u64,
-    /// Bound on the output, in tokens.
+    /// Upper bound on the output, in tokens.
     pub max_output: u64,
 }
 
-/// A checked request; head and body are passed on as they came.
+/// A validated request. Its method, target, headers and body are forwarded unchanged.
 pub struct HostedRequest {
-    /// The caller's id of this attempt.
+    /// Id that the caller gave to this attempt of its request.
     pub id: String,
-    /// Its route.
+    /// The route that it matched.
     pub route: Rc<HostedRoute>,
-    /// Whose key it carries, if any.
+    /// Workspace whose key it carries, if any.
     pub workspace: Option<WorkspaceName>,
-    /// Regions in which the workspace's requests may run; all if there are none.
+    /// Regions in which requests of the workspace may run; empty means all.
     pub regions: Vec<RegionName>,
-    /// Rank: the workspace's if it pays for one, else the route's.
+    /// Urgency: the workspace's if it has one, else the route's. Smaller values are served first.
     pub urgency: Urgency,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with query.
+    /// Path and query.
     pub target: PathAndQuery,
-    /// Headers that are passed on.
+    /// Headers to be forwarded.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When its head arrived.
+    /// Time at which the head was received.
     pub received: Instant,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// What it needs of an engine, if it is for one.
+    /// Resources that it needs, if it is a generation.
     pub generation: Option<GenerationNeeds>,
 }
 
 impl HostedRequest {
-    /// Returns when the request is given its final answer at the latest.
+    /// Returns the time by which the request must be answered: the caller's deadline or the end of
+    /// the route's time limit, whichever is earlier.
     pub fn end(&self) -> Instant {
         self.deadline.min(self.received + self.route.time_limit)
     }
 
-    /// Returns how long the request may still be held.
+    /// Returns the time left until the request must be answered.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.end().saturating_duration_since(now)
     }
 
-    /// Names what is asked: the same from the same workspace has the same name at every box, and
-    /// under every id.
+    /// Returns the content id, which is the same at every box for equal requests of one workspace,
+    /// whatever their request ids.
     pub fn content(&self) -> ContentId {
         let workspace = self.workspace.as_deref().unwrap_or_default();
         ContentId::of(&[
@@ -72,7 +73,7 @@
         ])
     }
 
-    /// Returns the rank as admission counts it: a larger one waits less.
+    /// Returns the priority used by admission; larger values are served first.
     pub fn priority(&self) -> Priority {
         Priority::MAX - self.urgency
     }
--- a/crates/hatchpitch/src/relay/answer.rs
+++ b/crates/hatchpitch/src/relay/response.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on without a look at what is in them: whole, or as they come.
+//! Forwards responses of upstreams without interpreting their bodies, buffered or streamed.
 
 use std::rc::Rc;
 
@@ -8,29 +8,30 @@
 use http::{Response, Version, header};
 use hyper::body::Incoming;
 
-use super::headers::strip_connection_headers;
+use super::headers::strip_hop_by_hop;
 use super::request::HostedRequest;
 use super::run::Relay;
-use super::stream::BUFFERED_PIECES;
+use super::stream::BUFFERED_CHUNKS;
 use crate::grants::Slot;
 use crate::quarantine::observer::{self, RunPlace};
 use crate::routing::Verdict;
 
-/// Makes the caller's answer out of an upstream's, with the length known.
-pub(super) fn with_length(mut parts: Parts, body: Bytes) -> Response<Body> {
-    for_caller(&mut parts);
+/// Builds the caller's response from the head of an upstream's and its complete body.
+pub(super) fn buffered_response(mut parts: Parts, body: Bytes) -> Response<Body> {
+    adapt_head(&mut parts);
     parts.headers.remove(header::CONTENT_LENGTH);
     Response::from_parts(parts, Body::from(body))
 }
 
-/// Makes the head of an upstream's answer fit for the caller's connection.
-pub(super) fn for_caller(parts: &mut Parts) {
-    strip_connection_headers(&mut parts.headers);
+/// Adapts the head of an upstream's response to the caller's connection.
+pub(super) fn adapt_head(parts: &mut Parts) {
+    strip_hop_by_hop(&mut parts.headers);
     parts.version = Version::HTTP_11;
 }
 
-/// Passes on an answer that is too large to be held.
-pub(super) fn pass_on(
+/// Streams a response that is too large to be buffered: first the bytes received so far, then the
+/// rest of the body as it arrives.
+pub(super) fn forward(
     relay: &Rc<Relay>,
     req: &Rc<HostedRequest>,
     mut slot: Slot,
@@ -39,13 +40,13 @@
     mut body: Incoming,
 ) -> Response<Body> {
     let is_framed = is_framed(&parts.headers);
-    for_caller(&mut parts);
-    let (mut tx, out) = Body::stream(BUFFERED_PIECES);
+    adapt_head(&mut parts);
+    let (mut tx, out) = Body::stream(BUFFERED_CHUNKS);
     let (cx, content) = (relay.cx.clone(), req.content());
     let (active, end) = (relay.cx.begin(), req.end());
     compio::runtime::spawn(async move {
         let left = end.saturating_duration_since(clock::now());
-        match compio::time::timeout(left, pass_pieces(first, &mut body, &mut tx)).await {
+        match compio::time::timeout(left, forward_body(first, &mut body, &mut tx)).await {
             Ok(Ok(())) => {
                 slot.finish(Verdict::Succeeded, None);
                 if is_framed {
@@ -53,8 +54,9 @@
                 }
             }
             Ok(Err(err)) => {
-                log::info!(upstream = slot.runner.as_str(); "large answer not passed on: {err}");
-                // A caller that left is told apart by the look at the upstream, which then serves.
+                log::info!(upstream = slot.runner.as_str(); "large response was not forwarded: {err}");
+                // The error may stem from a caller that disconnected. The observer tells this
+                // apart by checking the upstream, which still serves then.
                 let place = RunPlace { upstream: &slot.runner, addr: slot.addr };
                 observer::note_break(&cx, place, content, None);
                 tx.abort();
@@ -67,14 +69,14 @@
     Response::from_parts(parts, out)
 }
 
-async fn pass_pieces(
+async fn forward_body(
     first: Bytes,
     body: &mut Incoming,
     tx: &mut BodySender,
 ) -> Result<(), BodyError> {
     tx.send(first).await?;
-    while let Some(piece) = read_stream(body).await? {
-        tx.send(piece).await?;
+    while let Some(chunk) = read_stream(body).await? {
+        tx.send(chunk).await?;
     }
     Ok(())
 }
--- a/crates/hatchpitch/src/relay/run.rs
+++ b/crates/hatchpitch/src/relay/run.rs
@@ -1,4 +1,4 @@
-//! One request: upstreams are tried until there is a final answer.
+//! Handles one request: tries upstreams until there is a final response.
 
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -15,7 +15,7 @@
 use super::budget::RetryBudgets;
 use super::protocol::{Attempt, ResponseKind, RunnerProtocol};
 use super::request::HostedRequest;
-use super::{answer, stream};
+use super::{response, stream};
 use crate::config::hosted::{HostedRoute, RunPolicy};
 use crate::dispatch::{Refusal, SlotRequest};
 use crate::entry::EntryCx;
@@ -29,46 +29,48 @@
 use crate::routing::Verdict;
 use crate::upstream_heads::task as upstream_heads;
 
-/// Largest answer that is held until it is whole, in bytes; a larger one is passed on as it comes.
-const MAX_HELD_ANSWER: usize = 256 * 1024;
-/// Upstreams that turn a request away before it is refused: enough to pass over a few that are
-/// full or gone, few enough to stay far inside the time to an answer.
-const MAX_TURNED_AWAY: usize = 4;
-/// Part of the time to its answer, or its first event, that a request may be expected to wait for a
-/// slot on an engine, or for upstreams at their limits: the rest goes to its work. One that would
-/// wait longer is refused at once.
-const EXPECTED_WAIT: f64 = 0.5;
-/// Longest wait of a generation, in times to its first event: callers leave after four.
-const LONGEST_WAIT: f64 = 2.0;
-/// When a caller may come back while all upstreams that could serve it are evacuated: the order
-/// that ends it is in force everywhere within about this time, and its runners are cold then.
+/// Largest response that is buffered, in bytes. A larger one is streamed to the caller.
+const MAX_BUFFERED_RESPONSE: usize = 256 * 1024;
+/// Upstreams that are tried before a request that none of them ran is refused: enough to skip a
+/// few that are full or gone, few enough to stay well within the time allowed for a response.
+const MAX_REJECTIONS: usize = 4;
+/// Longest expected wait for a slot on an engine, or for upstreams at their limits, as a fraction
+/// of the route's target time to the response or its first event. The remainder is left for the
+/// work itself. A request that would wait longer is refused at once.
+const EXPECTED_WAIT_FRACTION: f64 = 0.5;
+/// Longest wait of a generation for a slot, as a multiple of the route's target time to the first
+/// event: callers disconnect after four times that target.
+const MAX_WAIT_FACTOR: f64 = 2.0;
+/// Retry delay while all eligible upstreams are in evacuated failure domains. The end of an
+/// evacuation takes about this long to reach all boxes, and the runners are cold then.
 const EVACUATED_RETRY: Duration = Duration::from_secs(2);
-/// When a caller may come back whose route and workspace leave no failure domain: configurations
+/// Retry delay if the regions of route and workspace leave no failure domain: configurations
 /// change a few times an hour.
 const NO_REGION_RETRY: Duration = Duration::from_secs(30);
-/// When a caller may come back after a failure that passes in moments.
-const SOON: Duration = Duration::from_millis(250);
-/// Time within which every upstream announces itself again: one heartbeat and its travel.
+/// Retry delay after a failure that is expected to be brief.
+const SHORT_RETRY: Duration = Duration::from_millis(250);
+/// Time within which every upstream announces itself again: one heartbeat interval plus
+/// propagation.
 const HEARTBEAT_WAIT: Duration = Duration::from_millis(1_400);
-/// Time between looks for an upstream that announced itself.
-const UPSTREAM_LOOK: Duration = Duration::from_millis(25);
+/// Interval at which a waiting request checks for a newly announced upstream.
+const UPSTREAM_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What all requests of hosted routes at one box share.
+/// State shared by all requests of hosted routes at one box.
 pub struct Relay {
-    /// The box.
+    /// Context of the entry box.
     pub cx: Rc<EntryCx>,
-    /// What upstreams speak.
+    /// Protocol of the upstreams.
     pub protocol: RunnerProtocol,
-    /// Budgets for second upstreams.
+    /// Retry budgets, by service.
     pub budgets: RefCell<RetryBudgets>,
 }
 
 impl Relay {
-    /// Returns the failure domains whose upstreams may run a request; none means all of them.
+    /// Returns the failure domains whose upstreams may run a request; an empty list means all.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if its route and its workspace leave none.
+    /// Returns a refusal if the regions of its route and its workspace leave no failure domain.
     pub fn domains_for(&self, req: &HostedRequest) -> Result<Vec<FailureDomainName>, Refusal> {
         let (of_route, of_workspace) = (&req.route.regions, &req.regions);
         let allowed: Vec<RegionName> = match (of_route.is_empty(), of_workspace.is_empty()) {
@@ -88,18 +90,18 @@
     }
 }
 
-/// How one try at an upstream ended without the final answer.
+/// Result of an attempt at one upstream that gave no final response.
 enum Failure {
-    /// The upstream did not run it. The flag tells whether the request arrived there.
+    /// The upstream did not run the request. `arrived` tells whether the upstream received it.
     NotRun { cause: String, arrived: bool },
-    /// It may have run.
+    /// The upstream may have run the request.
     MayHaveRun { cause: String },
-    /// It ran and failed; this is the upstream's answer.
+    /// The upstream ran the request and failed. Holds its response.
     Ran(Response<Body>),
 }
 
 impl Failure {
-    /// Returns the outcome and its cause, for the log.
+    /// Returns the outcome and its cause, for logging.
     fn describe(&self) -> (&'static str, Cow<'_, str>) {
         match self {
             Self::NotRun { cause, .. } => ("not_run", Cow::Borrowed(cause)),
@@ -109,47 +111,48 @@
     }
 }
 
-/// Which upstreams are left for a request.
+/// The upstreams that are left to try for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Untried {
-    /// Some that may run it.
+    /// At least one that may run it.
     Some,
-    /// Only some in evacuated failure domains.
+    /// Only upstreams in evacuated failure domains.
     Evacuated,
-    /// None that is known.
+    /// No known upstream.
     None,
 }
 
-/// What follows a try that ended without the final answer.
+/// The next step after an attempt that gave no final response.
 enum Next {
-    /// Another upstream is tried. Holds the answer of one that ran the request and failed, for
-    /// the case that no other gives a better one.
-    Another(Option<Response<Body>>),
-    /// The request ends with this; before a problem goes the answer of an earlier upstream.
+    /// Try another upstream. Holds the response of one that ran the request and failed, which is
+    /// returned if no other upstream succeeds.
+    TryAnother(Option<Response<Body>>),
+    /// End the request with this result. The response of an earlier upstream, if any, takes
+    /// precedence over a problem.
     End(Result<Response<Body>, Problem>),
 }
 
-/// Gives a request its final answer.
+/// Handles a request and returns its final response.
 ///
 /// # Errors
 ///
-/// Returns a [`Problem`] that tells whether the request was run.
+/// Returns a [`Problem`] whose outcome tells whether the request was run.
 pub async fn serve(relay: &Rc<Relay>, req: HostedRequest) -> Result<Response<Body>, Problem> {
     let within = relay.domains_for(&req);
     let mut run = Run::new(relay.clone(), Rc::new(req));
     relay.cx.metrics.count(Count::Requests, &run.service);
-    relay.budgets.borrow_mut().earn(&run.service);
+    relay.budgets.borrow_mut().credit(&run.service);
     let left = run.req.time_left(clock::now());
-    let answered = match within {
+    let result = match within {
         Err(refusal) => Err(run.refused(refusal)),
         Ok(within) => {
             run.within = within;
-            let answered = compio::time::timeout(left, run.answer()).await;
-            answered.unwrap_or_else(|_| Err(run.out_of_time()))
+            let result = compio::time::timeout(left, run.try_upstreams()).await;
+            result.unwrap_or_else(|_| Err(run.timed_out()))
         }
     };
-    run.log(&answered);
-    answered
+    run.log(&result);
+    result
 }
 
 struct Run {
@@ -157,17 +160,17 @@
     req: Rc<HostedRequest>,
     content: ContentId,
     service: ServiceName,
-    /// Failure domains whose upstreams may run it; all if there are none.
+    /// Failure domains whose upstreams may run the request; empty means all.
     within: Vec<FailureDomainName>,
-    /// Upstreams that turned the request away or failed it.
+    /// Upstreams that rejected the request or failed to run it.
     tried: RefCell<Vec<RunnerName>>,
-    /// Upstreams that the request may have run at.
-    ran_at: Cell<u32>,
-    /// Time spent waiting for slots.
+    /// Number of upstreams that may have run the request.
+    possible_runs: Cell<u32>,
+    /// Total time spent waiting for slots.
     waited: Cell<Duration>,
-    /// Whether an upstream has the request now.
-    offered: Cell<bool>,
-    /// The upstream that it was sent to last.
+    /// Whether an upstream may be running the request now.
+    in_flight: Cell<bool>,
+    /// The upstream that the request was sent to last.
     sent_to: RefCell<RunnerName>,
 }
 
@@ -182,26 +185,26 @@
             service,
             within: Vec::new(),
             tried: RefCell::default(),
-            ran_at: Cell::new(0),
+            possible_runs: Cell::new(0),
             waited: Cell::new(Duration::ZERO),
-            offered: Cell::new(false),
+            in_flight: Cell::new(false),
             sent_to: RefCell::default(),
         }
     }
 
-    async fn answer(&self) -> Result<Response<Body>, Problem> {
+    async fn try_upstreams(&self) -> Result<Response<Body>, Problem> {
         let mut last: Option<Response<Body>> = None;
         loop {
             if let Err(problem) = self.check_quarantine() {
                 return last.ok_or(problem);
             }
-            let slot = match self.slot().await {
+            let slot = match self.acquire_slot().await {
                 Ok(slot) => slot,
                 Err(refusal) => {
                     return last.map_or_else(|| Err(self.refused_after_tries(refusal)), Ok);
                 }
             };
-            // It may have come to be held while it waited.
+            // Its content may have been quarantined while it waited for the slot.
             if let Err(problem) = self.check_quarantine() {
                 return last.ok_or(problem);
             }
@@ -210,91 +213,94 @@
                 Ok(res) => return Ok(res),
                 Err(failure) => failure,
             };
-            self.log_try(&runner, &failure, started);
+            self.log_attempt(&runner, &failure, started);
             self.tried.borrow_mut().push(runner);
-            match self.after(failure) {
-                Next::Another(failed) => last = failed.or(last),
+            match self.next_step(failure) {
+                Next::TryAnother(failed) => last = failed.or(last),
                 Next::End(Ok(res)) => return Ok(res),
                 Next::End(Err(problem)) => return last.ok_or(problem),
             }
         }
     }
 
-    /// Refuses a request that crashes what runs it.
+    /// Refuses a request whose content is quarantined because it crashed upstreams.
     fn check_quarantine(&self) -> Result<(), Problem> {
-        observer::check(&self.relay.cx, &self.content).map_err(|problem| match self.ran_at.get() {
-            0 => problem,
-            _ => Problem::unknown(StatusCode::BAD_GATEWAY, "upstream_lost", problem.message),
+        observer::check(&self.relay.cx, &self.content).map_err(|problem| {
+            match self.possible_runs.get() {
+                0 => problem,
+                _ => Problem::unknown(StatusCode::BAD_GATEWAY, "upstream_lost", problem.message),
+            }
         })
     }
 
-    /// Notes that an upstream broke its run off.
+    /// Records that an upstream broke off the run.
     fn note_break(&self, slot: &Slot) {
         let place = RunPlace { upstream: &slot.runner, addr: slot.addr };
         observer::note_break(&self.relay.cx, place, self.content, None);
     }
 
-    /// Decides what follows a try without the final answer.
-    fn after(&self, failure: Failure) -> Next {
+    /// Decides how to continue after an attempt that gave no final response.
+    fn next_step(&self, failure: Failure) -> Next {
         match failure {
             Failure::NotRun { cause, arrived } => {
-                let Err(end) = self.check_other(arrived) else { return Next::Another(None) };
+                let Err(end) = self.check_rejected(arrived) else { return Next::TryAnother(None) };
                 let cause = format!("{cause}; {end}");
-                Next::End(Err(self.refused(Refusal::new(&cause, self.come_back()))))
+                Next::End(Err(self.refused(Refusal::new(&cause, self.retry_delay()))))
             }
             Failure::MayHaveRun { cause } => {
-                self.ran_at.set(self.ran_at.get() + 1);
+                self.possible_runs.set(self.possible_runs.get() + 1);
                 if self.may_repeat() {
-                    return Next::Another(None);
+                    return Next::TryAnother(None);
                 }
                 Next::End(Err(Problem::unknown(StatusCode::BAD_GATEWAY, "upstream_lost", cause)))
             }
             Failure::Ran(res) => {
-                self.ran_at.set(self.ran_at.get() + 1);
+                self.possible_runs.set(self.possible_runs.get() + 1);
                 if self.may_repeat() {
-                    return Next::Another(Some(res));
+                    return Next::TryAnother(Some(res));
                 }
                 Next::End(Ok(res))
             }
         }
     }
 
-    /// Checks that a request that was not run may go to another upstream, or returns why not.
-    fn check_other(&self, arrived: bool) -> Result<(), &'static str> {
-        if self.tried.borrow().len() >= MAX_TURNED_AWAY {
+    /// Checks whether a request that was not run may go to another upstream. The error is the
+    /// reason why it may not.
+    fn check_rejected(&self, arrived: bool) -> Result<(), &'static str> {
+        if self.tried.borrow().len() >= MAX_REJECTIONS {
             return Err("as many upstreams were tried as may be");
         }
         if !self.has_untried() {
             return Err("no other upstream is known");
         }
-        if arrived && !self.take_budget() {
+        if arrived && !self.withdraw_retry() {
             return Err("the budget for other upstreams is used up");
         }
         Ok(())
     }
 
-    /// Returns when a request may come back that was turned away: soon, or when the first of the
-    /// upstreams wants work again, if all of them asked this box for rest.
-    fn come_back(&self) -> Duration {
+    /// Returns the retry delay of a rejected request: short, unless all upstreams asked this box
+    /// for a rest period. Then it is the time until the first of these periods ends.
+    fn retry_delay(&self) -> Duration {
         let (cx, now) = (&self.relay.cx, clock::now());
         let (roster, rests) = (cx.upstreams.roster.borrow(), cx.rests.borrow());
         let could = roster.serving().filter(|record| {
             record.service == self.service && self.may_run_in(&record.failure_domain)
         });
         let opens_in = could.map(|record| rests.opens_in(&record.life(), now)).min();
-        opens_in.unwrap_or_default().max(SOON)
+        opens_in.unwrap_or_default().max(SHORT_RETRY)
     }
 
-    /// Returns whether a request that may have run may run again.
+    /// Returns whether a request that may have run may be retried, and charges the retry budget.
     fn may_repeat(&self) -> bool {
         self.relay.cx.settings.policy.second_tries
             && self.req.route.runs == RunPolicy::Repeatable
-            && self.ran_at.get() < self.req.route.max_upstreams
+            && self.possible_runs.get() < self.req.route.max_upstreams
             && self.has_untried()
-            && self.take_budget()
+            && self.withdraw_retry()
     }
 
-    /// Returns which upstreams are left that could run the request.
+    /// Returns which upstreams are left to try.
     fn untried(&self) -> Untried {
         let (roster, tried) = (self.relay.cx.upstreams.roster.borrow(), self.tried.borrow());
         let evacuations = self.relay.cx.config.evacuations();
@@ -320,18 +326,18 @@
         self.within.is_empty() || self.within.contains(domain)
     }
 
-    fn take_budget(&self) -> bool {
+    fn withdraw_retry(&self) -> bool {
         let boxes = self.relay.cx.membership.borrow().serving_boxes().count();
         let mut budgets = self.relay.budgets.borrow_mut();
         budgets.set_boxes(boxes);
-        budgets.take(&self.service)
+        budgets.try_withdraw(&self.service)
     }
 
-    /// Gets a slot on an upstream. An owner that has not heard yet that a failure domain is
-    /// evacuated may grant one there, which goes back unused.
-    async fn slot(&self) -> Result<Slot, Refusal> {
+    /// Obtains a slot on an upstream. An owner that does not know yet that a failure domain is
+    /// evacuated may grant a slot there; such a slot is released unused.
+    async fn acquire_slot(&self) -> Result<Slot, Refusal> {
         loop {
-            let slot = self.granted_slot().await?;
+            let slot = self.request_slot().await?;
             if !self.relay.cx.is_evacuated(&slot.failure_domain) {
                 return Ok(slot);
             }
@@ -344,7 +350,7 @@
         }
     }
 
-    async fn granted_slot(&self) -> Result<Slot, Refusal> {
+    async fn request_slot(&self) -> Result<Slot, Refusal> {
         let (needs, aim) = (self.req.generation, self.req.route.answer_aim);
         let settings = &self.relay.cx.settings;
         let refuses_early = needs.is_some() && settings.policy.early_refusal;
@@ -358,10 +364,10 @@
             avoid: self.tried.borrow().clone(),
             near: settings.policy.near.then(|| settings.failure_domain.clone()),
             copied: 0,
-            max_wait: needs.map(|_| aim.mul_f64(LONGEST_WAIT)),
-            accepts: refuses_early.then(|| aim.mul_f64(EXPECTED_WAIT)),
+            max_wait: needs.map(|_| aim.mul_f64(MAX_WAIT_FACTOR)),
+            accepts: refuses_early.then(|| aim.mul_f64(EXPECTED_WAIT_FRACTION)),
             within: self.within.clone(),
-            limit_wait: Some(aim.mul_f64(EXPECTED_WAIT)),
+            limit_wait: Some(aim.mul_f64(EXPECTED_WAIT_FRACTION)),
             skips_limited: false,
             sends_here: true,
             only_try: !self.relay.budgets.borrow().allows(&self.service),
@@ -378,15 +384,16 @@
         slot
     }
 
-    /// Waits a little while no upstream of the service has announced itself: after a restart of
-    /// the control boxes they all do within one heartbeat. Returns which are left then.
+    /// Waits up to [`HEARTBEAT_WAIT`] while no upstream of the service is known: after a restart of
+    /// the control boxes, all upstreams announce themselves within one heartbeat. Returns which
+    /// are left to try then.
     async fn await_upstreams(&self, started: Instant) -> Untried {
         loop {
             let untried = self.untried();
             if untried != Untried::None || clock::since(started) >= HEARTBEAT_WAIT {
                 return untried;
             }
-            compio::time::sleep(UPSTREAM_LOOK).await;
+            compio::time::sleep(UPSTREAM_POLL_INTERVAL).await;
         }
     }
 
@@ -395,7 +402,7 @@
         let left = self.req.time_left(clock::now());
         let attempt = Attempt { upstream: slot.runner.clone(), time_left: left, resume: None };
         let message = (self.relay.protocol.request)(&self.req, &attempt);
-        self.offered.set(true);
+        self.in_flight.set(true);
         self.sent_to.borrow_mut().clone_from(&slot.runner);
         let sent_at = clock::now();
         let sent = self.relay.cx.upstream(slot.addr).send(message, left).await;
@@ -408,13 +415,13 @@
             self.send_failure(&err)
         })?;
         let (parts, body) = res.into_parts();
-        let reading = (self.relay.protocol.classify)(&self.req, &parts);
-        let signals = reading.trusted_signals(self.relay.protocol.signals(&parts));
+        let kind = (self.relay.protocol.classify)(&self.req, &parts);
+        let signals = kind.trusted_signals(self.relay.protocol.signals(&parts));
         upstream_heads::note(&self.relay.cx, &slot.runner, signals, sent_at);
-        match reading {
+        match kind {
             ResponseKind::Answer => {}
             ResponseKind::NotRun { cause, is_replaced } => {
-                self.offered.set(false);
+                self.in_flight.set(false);
                 let verdict = if is_replaced { Verdict::Failed } else { Verdict::Released };
                 slot.finish(verdict, None);
                 return Err(Failure::NotRun { cause, arrived: true });
@@ -425,7 +432,7 @@
             }
         }
         if self.req.route.runs == RunPolicy::Stream && parts.status.is_success() {
-            return Ok(stream::pass_on(
+            return Ok(stream::forward(
                 &self.relay,
                 self.req.clone(),
                 self.content,
@@ -435,22 +442,23 @@
                 body,
             ));
         }
-        self.whole_answer(slot, parts, body).await
+        self.read_response(slot, parts, body).await
     }
 
     fn send_failure(&self, err: &SendError) -> Failure {
         let cause = err.to_string();
         match err.step {
             SendStep::Connect | SendStep::Unsent => {
-                self.offered.set(false);
+                self.in_flight.set(false);
                 Failure::NotRun { cause, arrived: false }
             }
             SendStep::AwaitHead => Failure::MayHaveRun { cause },
         }
     }
 
-    /// Holds an answer until it is whole, so that a broken one can be made up for.
-    async fn whole_answer(
+    /// Buffers a response until it is complete, so that a broken one can still be retried. One that
+    /// exceeds [`MAX_BUFFERED_RESPONSE`] is streamed instead.
+    async fn read_response(
         &self,
         mut slot: Slot,
         parts: Parts,
@@ -460,7 +468,7 @@
         let is_framed = is_framed(&parts.headers);
         loop {
             match read_stream(&mut body).await {
-                Ok(Some(piece)) => buf.extend_from_slice(&piece),
+                Ok(Some(chunk)) => buf.extend_from_slice(&chunk),
                 Ok(None) => break,
                 Err(err) => {
                     slot.finish(Verdict::Faulty, None);
@@ -469,9 +477,9 @@
                     return Err(Failure::MayHaveRun { cause });
                 }
             }
-            if buf.len() > MAX_HELD_ANSWER {
+            if buf.len() > MAX_BUFFERED_RESPONSE {
                 let first = buf.freeze();
-                return Ok(answer::pass_on(&self.relay, &self.req, slot, parts, first, body));
+                return Ok(response::forward(&self.relay, &self.req, slot, parts, first, body));
             }
         }
         if is_framed {
@@ -479,22 +487,23 @@
         }
         let failed = parts.status.is_server_error();
         slot.finish(if failed { Verdict::Released } else { Verdict::Succeeded }, None);
-        let res = answer::with_length(parts, buf.freeze());
+        let res = response::buffered_response(parts, buf.freeze());
         if failed { Err(Failure::Ran(res)) } else { Ok(res) }
     }
 
-    /// Refuses a request for which there is no other upstream. The caller's next one may go to those
-    /// that this one tried.
+    /// Refuses a request for which no further upstream is available. The retry delay covers the
+    /// upstreams that were tried as well, because the caller's next request may use them.
     fn refused_after_tries(&self, mut refusal: Refusal) -> Problem {
         if !self.tried.borrow().is_empty() {
-            refusal.retry_after = refusal.retry_after.min(self.come_back());
+            refusal.retry_after = refusal.retry_after.min(self.retry_delay());
         }
         self.refused(refusal)
     }
 
-    /// Says that the request was not run, or that an earlier try of it may have been.
+    /// Returns a problem for a refused request: its outcome is "unknown" if an earlier attempt may
+    /// have run, else "not run".
     fn refused(&self, refusal: Refusal) -> Problem {
-        if self.ran_at.get() > 0 {
+        if self.possible_runs.get() > 0 {
             return Problem::unknown(StatusCode::BAD_GATEWAY, "upstream_lost", refusal.cause);
         }
         self.relay.cx.metrics.count(Count::Refused, &self.service);
@@ -502,15 +511,15 @@
             .retry_after(refusal.retry_after)
     }
 
-    fn out_of_time(&self) -> Problem {
+    fn timed_out(&self) -> Problem {
         let message = "no answer within the time that the request may be held";
-        if self.offered.get() || self.ran_at.get() > 0 {
+        if self.in_flight.get() || self.possible_runs.get() > 0 {
             return Problem::unknown(StatusCode::GATEWAY_TIMEOUT, "out_of_time", message);
         }
-        self.refused(Refusal::new(message, SOON))
+        self.refused(Refusal::new(message, SHORT_RETRY))
     }
 
-    fn log_try(&self, runner: &str, failure: &Failure, started: Instant) {
+    fn log_attempt(&self, runner: &str, failure: &Failure, started: Instant) {
         let (outcome, cause) = failure.describe();
         log::info!(
             request = self.req.id.as_str(), content:% = self.content,
@@ -522,8 +531,8 @@
         );
     }
 
-    fn log(&self, answered: &Result<Response<Body>, Problem>) {
-        let (status, outcome, cause) = match answered {
+    fn log(&self, result: &Result<Response<Body>, Problem>) {
+        let (status, outcome, cause) = match result {
             Ok(res) => (res.status(), Outcome::Done, ""),
             Err(problem) => (problem.status, problem.outcome, problem.message.as_str()),
         };
@@ -544,7 +553,7 @@
     }
 }
 
-/// Draws one of the route's services by weight.
+/// Chooses one of the route's services at random, by weight.
 fn choose_target(route: &HostedRoute) -> &str {
     let sum: u32 = route.targets.iter().map(|target| target.weight).sum();
     let mut draw = rand::rng().random_range(0..sum.max(1));
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -1,4 +1,5 @@
-//! Passes a stream of events on while it is made, from one runner after another if it is moved.
+//! Forwards a stream of events while it is produced. A migrated generation continues over a link to
+//! another runner; a link is the streaming response of one runner.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,10 +11,10 @@
 use http::response::Parts;
 use hyper::body::Incoming;
 
-use super::answer::for_caller;
 use super::events::EventSplitter;
 use super::protocol::{Attempt, ResponseKind, Resume};
 use super::request::HostedRequest;
+use super::response::adapt_head;
 use super::run::Relay;
 use crate::config::hosted::EngineSpec;
 use crate::entry::context::ActiveGuard;
@@ -28,36 +29,36 @@
 use crate::routing::Verdict;
 use crate::upstream_heads::task as upstream_heads;
 
-/// Pieces buffered between upstream and caller.
-pub(super) const BUFFERED_PIECES: usize = 32;
-/// Longest time until a caller that left is noticed while the upstream says nothing.
-const CALLER_LOOK: Duration = Duration::from_millis(100);
+/// Chunks buffered between upstream and caller.
+pub(super) const BUFFERED_CHUNKS: usize = 32;
+/// Interval at which the connection to the caller is checked while the upstream sends nothing.
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Tokens still to come from which on a generation is moved: what a runner makes in about the
-/// shortest notice that it gives.
-const MIN_AT_STAKE: u64 = 160;
-/// Moves of one generation: runners that leave one after the other.
+/// Fewest remaining tokens for which a generation is migrated: what a runner produces in about the
+/// shortest notice that it gives before it shuts down.
+const MIN_REMAINING_TOKENS: u64 = 160;
+/// Largest number of migrations of one generation, whose runners may leave one after another.
 const MAX_MOVES: u32 = 12;
-/// Rest after a move, and after one that came to nothing.
-const MOVE_REST: Duration = Duration::from_millis(100);
-/// Time for a move whose run was stopped to end.
-const MOVE_WAIT: Duration = Duration::from_millis(2_000);
+/// Delay after a migration, successful or not, before the next one may start.
+const MOVE_DELAY: Duration = Duration::from_millis(100);
+/// Time within which a migration must end after its run was stopped.
+const MOVE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Why a stream ended.
+/// Reason why a stream ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum End {
-    /// The upstream ended it.
+enum StreamEnd {
+    /// The upstream ended it regularly.
     Whole,
-    /// The caller left, or read too slowly.
+    /// The caller disconnected, or read too slowly.
     CallerLeft,
-    /// The upstream broke it off.
+    /// The upstream broke it off. Holds the cause.
     Broken(String),
-    /// The time of the request is over.
+    /// The time limit of the request was reached.
     OutOfTime,
 }
 
-/// Passes a stream of events on, whole events only.
-pub(super) fn pass_on(
+/// Forwards a stream of events. Only complete events are sent to the caller.
+pub(super) fn forward(
     relay: &Rc<Relay>,
     req: Rc<HostedRequest>,
     content: ContentId,
@@ -67,8 +68,8 @@
     body: Incoming,
 ) -> Response<Body> {
     let is_framed = is_framed(&parts.headers);
-    for_caller(&mut parts);
-    let (tx, out) = Body::stream(BUFFERED_PIECES);
+    adapt_head(&mut parts);
+    let (tx, out) = Body::stream(BUFFERED_CHUNKS);
     let mut stream = EventStream::new(relay.clone(), req, content, service.to_owned(), slot);
     stream.is_framed = is_framed;
     compio::runtime::spawn(stream.run(body, tx)).detach();
@@ -83,36 +84,39 @@
     service: ServiceName,
     splitter: EventSplitter,
     moving: Option<Moving>,
-    /// Whether the runner of the present link tells where its stream ends.
+    /// Whether the response of the current link is framed, so that its end differs from a break.
     is_framed: bool,
-    /// When the head of the present link came.
-    begun: Instant,
-    /// Moves that were begun, and when the next may be.
+    /// When the head of the current link was received.
+    link_start: Instant,
+    /// Number of migrations started.
     moves: u32,
+    /// Earliest time of the next migration.
     next_move: Instant,
-    /// Version of the roster that was last looked at.
-    seen_roster: u64,
+    /// Version of the roster that `leaving` was read from.
+    roster_version: u64,
+    /// Whether the runner is about to shut down.
     leaving: bool,
+    /// Time from the receipt of the request to its first event.
     first_event: Option<Duration>,
     last_progress: Instant,
     longest_gap: Duration,
-    /// Keeps the process running until the stream has ended.
+    /// Delays the shutdown of the process until the stream has ended.
     _active: ActiveGuard,
 }
 
 /// How one link to a runner ended.
 enum LinkEnd {
-    /// The stream is over.
-    Over(End),
-    /// The runner closed the stream, or it broke.
-    Closed(End),
+    /// The stream is over; no other link follows.
+    Over(StreamEnd),
+    /// The runner closed the link, or it broke. A migration may open another one.
+    Closed(StreamEnd),
 }
 
-/// Why a run did not go on from a copy.
+/// Reason why a run did not resume from a copy.
 enum ResumeFailure {
-    /// The runner did not take it, and the copy was not used.
+    /// The runner did not accept the run, and the copy was not used.
     NotRun(String),
-    /// It may go on there.
+    /// The run may have resumed at the runner.
     MayHaveRun(String),
 }
 
@@ -148,10 +152,10 @@
             splitter: EventSplitter::default(),
             moving: None,
             is_framed: true,
-            begun: now,
+            link_start: now,
             moves: 0,
             next_move: now,
-            seen_roster: 0,
+            roster_version: 0,
             leaving: false,
             first_event: None,
             last_progress: now,
@@ -161,56 +165,58 @@
     }
 
     async fn run(mut self, body: Incoming, mut tx: BodySender) {
-        let end = self.pass(body, &mut tx).await;
-        let tokens = self.tokens_made();
+        let end = self.forward_links(body, &mut tx).await;
+        let tokens = self.tokens_produced();
         match &end {
-            End::Whole => {
+            StreamEnd::Whole => {
                 self.relay.cx.metrics.count(Count::Done, &self.req.route.name);
                 self.slot.finish(Verdict::Succeeded, Some(tokens));
             }
-            End::Broken(_) => {
+            StreamEnd::Broken(_) => {
                 self.slot.finish(Verdict::Released, None);
                 tx.abort();
             }
-            End::CallerLeft => self.relay.cx.metrics.count(Count::CallerLeft, &self.req.route.name),
-            End::OutOfTime => tx.abort(),
+            StreamEnd::CallerLeft => {
+                self.relay.cx.metrics.count(Count::CallerLeft, &self.req.route.name)
+            }
+            StreamEnd::OutOfTime => tx.abort(),
         }
         self.log(&end);
     }
 
-    /// Passes events on, from one runner after another if the generation is moved.
-    async fn pass(&mut self, mut body: Incoming, tx: &mut BodySender) -> End {
+    /// Forwards events over one link after another, as the generation is migrated.
+    async fn forward_links(&mut self, mut body: Incoming, tx: &mut BodySender) -> StreamEnd {
         loop {
-            let closed = match self.pass_link(&mut body, tx).await {
+            let closed = match self.forward_link(&mut body, tx).await {
                 LinkEnd::Over(end) => return end,
                 LinkEnd::Closed(end) => end,
             };
-            body = match self.go_on(&closed).await {
+            body = match self.open_next_link(&closed).await {
                 Ok(Some(next)) => next,
                 Ok(None) => return self.finish_link(closed, tx).await,
-                Err(cause) => return End::Broken(cause),
+                Err(cause) => return StreamEnd::Broken(cause),
             };
         }
     }
 
-    async fn pass_link(&mut self, body: &mut Incoming, tx: &mut BodySender) -> LinkEnd {
+    async fn forward_link(&mut self, body: &mut Incoming, tx: &mut BodySender) -> LinkEnd {
         loop {
             if tx.is_closed() {
-                return LinkEnd::Over(End::CallerLeft);
+                return LinkEnd::Over(StreamEnd::CallerLeft);
             }
             if clock::now() >= self.req.end() {
-                return LinkEnd::Over(End::OutOfTime);
+                return LinkEnd::Over(StreamEnd::OutOfTime);
             }
-            self.look_after_move();
-            let piece = match compio::time::timeout(CALLER_LOOK, read_stream(body)).await {
+            self.poll_move();
+            let chunk = match compio::time::timeout(CALLER_POLL_INTERVAL, read_stream(body)).await {
                 Err(_) => continue,
-                Ok(Ok(Some(piece))) => piece,
-                Ok(Ok(None)) => return LinkEnd::Closed(End::Whole),
-                Ok(Err(err)) => return LinkEnd::Closed(End::Broken(err.to_string())),
+                Ok(Ok(Some(chunk))) => chunk,
+                Ok(Ok(None)) => return LinkEnd::Closed(StreamEnd::Whole),
+                Ok(Err(err)) => return LinkEnd::Closed(StreamEnd::Broken(err.to_string())),
             };
-            let Some(events) = self.splitter.push(&piece) else { continue };
+            let Some(events) = self.splitter.push(&chunk) else { continue };
             if self.splitter.out_of_order() {
-                return LinkEnd::Over(End::Broken("events out of order".to_owned()));
+                return LinkEnd::Over(StreamEnd::Broken("events out of order".to_owned()));
             }
             self.note_progress();
             if let Some(end) = self.deliver(tx, events).await {
@@ -220,37 +226,40 @@
     }
 
     /// Ends the stream as its last link ended.
-    async fn finish_link(&mut self, closed: End, tx: &mut BodySender) -> End {
+    async fn finish_link(&mut self, closed: StreamEnd, tx: &mut BodySender) -> StreamEnd {
         match &closed {
-            End::Whole if self.is_framed => observer::note_answer(&self.relay.cx, self.content),
-            End::Broken(_) => self.note_break(Some(self.begun)),
+            StreamEnd::Whole if self.is_framed => {
+                observer::note_answer(&self.relay.cx, self.content)
+            }
+            StreamEnd::Broken(_) => self.note_break(Some(self.link_start)),
             _ => {}
         }
-        if closed == End::Whole
-            && let Some(rest) = self.splitter.rest()
+        if closed == StreamEnd::Whole
+            && let Some(remainder) = self.splitter.take_remainder()
         {
-            // The upstream ended the message itself, so what is left belongs to it.
-            let _ = tx.send(rest).await;
+            // The upstream ended the message regularly, so the remaining bytes belong to it.
+            let _ = tx.send(remainder).await;
         }
         closed
     }
 
-    /// Notes that the runner broke its run off, which began there at `begun` if it gave a sign.
-    fn note_break(&self, begun: Option<Instant>) {
+    /// Records that the runner broke off its run. `started` is when the run is known to have
+    /// started there, if at all.
+    fn note_break(&self, started: Option<Instant>) {
         let place = RunPlace { upstream: &self.slot.runner, addr: self.slot.addr };
-        observer::note_break(&self.relay.cx, place, self.content, begun);
+        observer::note_break(&self.relay.cx, place, self.content, started);
     }
 
-    /// Begins a move once the runner leaves, and takes note of one that came to nothing.
-    fn look_after_move(&mut self) {
+    /// Starts a migration once the runner is about to shut down, and clears one that was abandoned.
+    fn poll_move(&mut self) {
         if let Some(moving) = &mut self.moving {
             if moving.came_to_nothing() {
                 self.moving = None;
-                self.next_move = clock::now() + MOVE_REST;
+                self.next_move = clock::now() + MOVE_DELAY;
             }
             return;
         }
-        self.look_at_roster();
+        self.refresh_leaving();
         if !self.relay.cx.settings.policy.moves {
             return;
         }
@@ -262,9 +271,12 @@
             return;
         }
         let Some(needs) = self.req.generation else { return };
-        let made = self.tokens_made();
-        let at_stake = needs.max_output.saturating_sub(made);
-        if made == 0 || at_stake < MIN_AT_STAKE || !self.engine().is_some_and(|e| e.moves) {
+        let produced = self.tokens_produced();
+        let at_stake = needs.max_output.saturating_sub(produced);
+        if produced == 0
+            || at_stake < MIN_REMAINING_TOKENS
+            || !self.engine().is_some_and(|e| e.moves)
+        {
             return;
         }
         self.moves += 1;
@@ -274,45 +286,47 @@
             addr: self.slot.addr,
             failure_domain: self.slot.failure_domain.clone(),
         };
-        let in_memory = needs.prompt + made;
+        let in_memory = needs.prompt + produced;
         self.moving = Some(moves::start(&self.relay, &self.req, leaver, at_stake, in_memory));
     }
 
-    fn look_at_roster(&mut self) {
+    fn refresh_leaving(&mut self) {
         let roster = self.relay.cx.upstreams.roster.borrow();
-        if self.seen_roster != roster.version() {
-            self.seen_roster = roster.version();
+        if self.roster_version != roster.version() {
+            self.roster_version = roster.version();
             let record = roster.get(&self.slot.runner);
-            // Some runners end their registration at once and serve on for as long as others do.
+            // Some runners deregister at once, and keep serving for as long as those that announce
+            // their shutdown.
             self.leaving = record.is_none_or(|record| record.phase == Phase::Leaving);
         }
     }
 
-    /// Waits for the move that closed the link, and opens the link to the copy. `None` means
-    /// that there was none, or that the stream had ended before it.
-    async fn go_on(&mut self, closed: &End) -> Result<Option<Incoming>, String> {
+    /// Waits for the migration that closed the link, and opens the link to the copy. Returns `None`
+    /// if there was no migration, or if the stream had ended before it.
+    async fn open_next_link(&mut self, closed: &StreamEnd) -> Result<Option<Incoming>, String> {
         let Some(moving) = self.moving.take() else { return Ok(None) };
-        if *closed == End::Whole && !moving.is_stopping() {
-            // A run that nobody has stopped ended by itself; its move comes to nothing.
+        if *closed == StreamEnd::Whole && !moving.is_stopping() {
+            // The run was not stopped, so it has finished; its migration is abandoned.
             return Ok(None);
         }
-        let moved = match compio::time::timeout(MOVE_WAIT, moving.end).await {
+        let moved = match compio::time::timeout(MOVE_TIMEOUT, moving.end).await {
             Ok(Ok(MoveEnd::Moved(moved))) => moved,
             Ok(Ok(MoveEnd::Stays(_))) => return Ok(None),
-            // A stopped run's stream is closed without its end, so this one was not stopped.
-            _ if *closed == End::Whole => return Ok(None),
+            // The stream of a stopped run is closed without its terminator, so this run was not
+            // stopped.
+            _ if *closed == StreamEnd::Whole => return Ok(None),
             Ok(Ok(MoveEnd::Lost(cause))) => return Err(cause),
             Ok(Err(_)) | Err(_) => return Err("the move did not end in time".to_owned()),
         };
-        self.splitter.drop_part();
+        self.splitter.discard_incomplete();
         self.resume(moved).await.map(Some)
     }
 
-    /// Goes on from the copy where it was sent, or, if that runner did not take it, where the
-    /// run was stopped: the memory stays there until the copy is used.
+    /// Resumes the run at the runner that received the copy. If that runner does not accept it, the
+    /// run resumes where it was stopped, which keeps its state until the copy is used.
     async fn resume(&mut self, moved: Moved) -> Result<Incoming, String> {
-        self.seen_roster = 0;
-        self.next_move = clock::now() + MOVE_REST;
+        self.roster_version = 0;
+        self.next_move = clock::now() + MOVE_DELAY;
         let Moved { slot, source, handle } = moved;
         let left = slot.map(|slot| std::mem::replace(&mut self.slot, *slot));
         let failure = match self.send_resume(source, handle.clone()).await {
@@ -324,11 +338,11 @@
                 log::info!(
                     request = self.req.id.as_str(), upstream = self.slot.runner.as_str(),
                     back_at = left.runner.as_str(), cause = cause.as_str();
-                    "copy not taken; the run goes on where it was stopped"
+                    "copy was not accepted; the run resumes at its previous runner"
                 );
                 self.slot = left;
                 let (cx, runner) = (&self.relay.cx, &self.slot.runner);
-                upstream_heads::await_rest(cx, runner, MOVE_WAIT).await;
+                upstream_heads::await_rest(cx, runner, MOVE_TIMEOUT).await;
                 upstream_heads::obtain_in_advance(cx, runner).await?;
                 self.send_resume(source, handle).await.map_err(ResumeFailure::cause)
             }
@@ -336,7 +350,7 @@
         }
     }
 
-    /// Sends the request to the runner of the slot, to go on from a copy.
+    /// Sends the request to the runner of the current slot, to resume from a copy.
     async fn send_resume(
         &mut self,
         source: SocketAddr,
@@ -352,7 +366,7 @@
             time_left: left,
             resume: Some(Resume { source, handle, after }),
         };
-        self.relay.budgets.borrow_mut().spend(&self.service);
+        self.relay.budgets.borrow_mut().force_withdraw(&self.service);
         let message = (self.relay.protocol.request)(&self.req, &attempt);
         let sent_at = clock::now();
         let sent = self.relay.cx.upstream(self.slot.addr).send(message, left).await;
@@ -363,14 +377,14 @@
             ResumeFailure::from_send(err)
         });
         let (parts, body) = sent?.into_parts();
-        let reading = (self.relay.protocol.classify)(&self.req, &parts);
-        let signals = reading.trusted_signals(self.relay.protocol.signals(&parts));
+        let kind = (self.relay.protocol.classify)(&self.req, &parts);
+        let signals = kind.trusted_signals(self.relay.protocol.signals(&parts));
         upstream_heads::note(&self.relay.cx, &self.slot.runner, signals, sent_at);
-        match reading {
+        match kind {
             ResponseKind::Answer if parts.status.is_success() => {
                 self.relay.cx.metrics.count(Count::Relinks, &self.req.route.name);
                 self.is_framed = is_framed(&parts.headers);
-                self.begun = clock::now();
+                self.link_start = clock::now();
                 Ok(body)
             }
             ResponseKind::Answer => {
@@ -385,14 +399,14 @@
         }
     }
 
-    async fn deliver(&self, tx: &mut BodySender, events: Bytes) -> Option<End> {
+    async fn deliver(&self, tx: &mut BodySender, events: Bytes) -> Option<StreamEnd> {
         let limit = self.relay.cx.settings.timing.slow_caller;
         match compio::time::timeout(limit, tx.send(events)).await {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(End::CallerLeft),
+            Ok(Err(_)) => Some(StreamEnd::CallerLeft),
             Err(_) => {
                 self.relay.cx.metrics.count(Count::CallerSlow, &self.req.route.name);
-                Some(End::CallerLeft)
+                Some(StreamEnd::CallerLeft)
             }
         }
     }
@@ -415,7 +429,7 @@
         self.last_progress = clock::now();
     }
 
-    fn tokens_made(&self) -> u64 {
+    fn tokens_produced(&self) -> u64 {
         self.splitter.events() * self.engine().map_or(1, |engine| engine.tokens_per_event)
     }
 
@@ -424,12 +438,12 @@
         view.hosted_services.get(&self.service)?.engine.clone()
     }
 
-    fn log(&self, end: &End) {
+    fn log(&self, end: &StreamEnd) {
         let (outcome, cause) = match end {
-            End::Whole => ("whole", ""),
-            End::CallerLeft => ("caller_left", ""),
-            End::Broken(cause) => ("broken", cause.as_str()),
-            End::OutOfTime => ("out_of_time", ""),
+            StreamEnd::Whole => ("whole", ""),
+            StreamEnd::CallerLeft => ("caller_left", ""),
+            StreamEnd::Broken(cause) => ("broken", cause.as_str()),
+            StreamEnd::OutOfTime => ("out_of_time", ""),
         };
         log::info!(
             request = self.req.id.as_str(), content:% = self.content,
--- a/crates/hatchpitch/tests/relay.rs
+++ b/crates/hatchpitch/tests/relay.rs
@@ -1,46 +1,46 @@
-//! Parts of the relay: whole events, and the budget that all boxes share.
+//! Tests of the event splitter and of the retry budgets that all boxes share.
 
 use hatchpitch::relay::events::EventSplitter;
 use hatchpitch::relay::{RetryBudgets, RetryLimits};
 
-fn pass(splitter: &mut EventSplitter, piece: &str) -> String {
-    let passed = splitter.push(piece.as_bytes());
+fn forward(splitter: &mut EventSplitter, chunk: &str) -> String {
+    let passed = splitter.push(chunk.as_bytes());
     passed.map_or_else(String::new, |bytes| String::from_utf8(bytes.to_vec()).unwrap())
 }
 
 #[test]
-fn only_whole_events_are_passed_on() {
+fn only_complete_events_are_returned() {
     let mut splitter = EventSplitter::default();
-    assert_eq!(pass(&mut splitter, "id: 1\ndata: a"), "");
-    assert_eq!(pass(&mut splitter, "b\n"), "");
-    assert_eq!(pass(&mut splitter, "\nid: 2\n"), "id: 1\ndata: ab\n\n");
-    assert_eq!(pass(&mut splitter, "data: c\n\nid: 3\n\nid"), "id: 2\ndata: c\n\nid: 3\n\n");
+    assert_eq!(forward(&mut splitter, "id: 1\ndata: a"), "");
+    assert_eq!(forward(&mut splitter, "b\n"), "");
+    assert_eq!(forward(&mut splitter, "\nid: 2\n"), "id: 1\ndata: ab\n\n");
+    assert_eq!(forward(&mut splitter, "data: c\n\nid: 3\n\nid"), "id: 2\ndata: c\n\nid: 3\n\n");
     assert_eq!((splitter.events(), splitter.last_id()), (3, Some("3")));
-    assert_eq!(splitter.rest().as_deref(), Some(b"id".as_slice()));
+    assert_eq!(splitter.take_remainder().as_deref(), Some(b"id".as_slice()));
     assert!(!splitter.out_of_order());
 }
 
 #[test]
-fn events_end_with_empty_lines_of_either_kind() {
+fn events_end_with_empty_lines_in_lf_or_crlf() {
     let mut splitter = EventSplitter::default();
-    assert_eq!(pass(&mut splitter, "id: 1\r\ndata: a\r\n\r"), "");
-    assert_eq!(pass(&mut splitter, "\nrest"), "id: 1\r\ndata: a\r\n\r\n");
+    assert_eq!(forward(&mut splitter, "id: 1\r\ndata: a\r\n\r"), "");
+    assert_eq!(forward(&mut splitter, "\nrest"), "id: 1\r\ndata: a\r\n\r\n");
     assert_eq!(splitter.last_id(), Some("1"));
 }
 
 #[test]
-fn an_event_that_comes_again_after_a_move_is_noticed() {
+fn an_event_that_is_repeated_after_a_move_is_detected() {
     let mut splitter = EventSplitter::default();
-    pass(&mut splitter, "id: 7\n\nid: 8\ndata: par");
-    splitter.drop_part();
-    pass(&mut splitter, "id: 8\ndata: part\n\n");
+    forward(&mut splitter, "id: 7\n\nid: 8\ndata: par");
+    splitter.discard_incomplete();
+    forward(&mut splitter, "id: 8\ndata: part\n\n");
     assert!(!splitter.out_of_order());
-    pass(&mut splitter, "id: 8\ndata: part\n\n");
+    forward(&mut splitter, "id: 8\ndata: part\n\n");
     assert!(splitter.out_of_order());
 }
 
 #[test]
-fn events_are_the_same_however_the_bytes_are_cut() {
+fn events_do_not_depend_on_how_the_bytes_are_split() {
     let text = "id: 1\ndata: x\n\nid: 2\r\ndata: y\r\n\r\nid: 3\ndata: z\n\n";
     for seed in 0..100_u64 {
         arbtest::arbtest(|u| {
@@ -48,7 +48,7 @@
             let (mut passed, mut rest) = (String::new(), text);
             while !rest.is_empty() {
                 let cut = u.int_in_range(1..=rest.len())?;
-                passed += &pass(&mut splitter, &rest[..cut]);
+                passed += &forward(&mut splitter, &rest[..cut]);
                 rest = &rest[cut..];
             }
             assert_eq!((passed.as_str(), splitter.events()), (text, 3));
@@ -59,24 +59,24 @@
     }
 }
 
-/// Counts the repeats that one box is allowed for `requests` requests, each of which asks for one.
-fn allowed(budgets: &mut RetryBudgets, requests: usize) -> usize {
+/// Returns how many retries one box is allowed if each of `requests` requests asks for one.
+fn allowed_retries(budgets: &mut RetryBudgets, requests: usize) -> usize {
     let ask = |_: &usize| {
-        budgets.earn("s");
-        budgets.take("s")
+        budgets.credit("s");
+        budgets.try_withdraw("s")
     };
     (0..requests).filter(ask).count()
 }
 
 #[test]
-fn all_boxes_together_stay_inside_the_budget() {
+fn all_boxes_together_stay_within_the_budget() {
     let limits = RetryLimits { ratio: 0.2, slack: 64.0 };
     for boxes in [4_usize, 9, 12, 90] {
         let requests = 40;
         let each = || {
             let mut budgets = RetryBudgets::new(limits);
             budgets.set_boxes(boxes);
-            allowed(&mut budgets, requests)
+            allowed_retries(&mut budgets, requests)
         };
         let spent: usize = (0..boxes).map(|_| each()).sum();
         let bound = 0.2 * (boxes * requests) as f64 + 64.0;
@@ -85,20 +85,20 @@
 }
 
 #[test]
-fn losing_sight_of_boxes_never_raises_a_part() {
+fn a_drop_in_visible_boxes_never_raises_a_share() {
     let limits = RetryLimits { ratio: 0.0, slack: 64.0 };
     let mut budgets = RetryBudgets::new(limits);
     budgets.set_boxes(16);
     budgets.set_boxes(1);
-    assert_eq!(allowed(&mut budgets, 100), 2);
+    assert_eq!(allowed_retries(&mut budgets, 100), 2);
 }
 
 #[test]
-fn what_cannot_be_held_back_leaves_less_for_others() {
+fn forced_withdrawals_leave_less_for_other_requests() {
     let limits = RetryLimits { ratio: 0.0, slack: 64.0 };
     let mut budgets = RetryBudgets::new(limits);
     budgets.set_boxes(8);
-    budgets.spend("s");
-    budgets.spend("s");
-    assert_eq!(allowed(&mut budgets, 100), 2);
+    budgets.force_withdraw("s");
+    budgets.force_withdraw("s");
+    assert_eq!(allowed_retries(&mut budgets, 100), 2);
 }
