--- a/crates/hatchpitch/src/config/feed.rs
+++ b/crates/hatchpitch/src/config/feed.rs
@@ -441,7 +441,7 @@
             continue;
         }
         failures += 1;
-        compio::time::sleep(backoff::rest(failures)).await;
+        compio::time::sleep(backoff::delay(failures)).await;
     }
 }
 
--- a/crates/hatchpitch/src/limits/backoff.rs
+++ b/crates/hatchpitch/src/limits/backoff.rs
@@ -8,7 +8,7 @@
 const LONGEST_REST: Duration = Duration::from_millis(200);
 
 /// Returns the rest after so many failures in a row; it doubles with each.
-pub fn rest(failures: u32) -> Duration {
+pub fn delay(failures: u32) -> Duration {
     let doubled = FIRST_REST.saturating_mul(1 << failures.saturating_sub(1).min(16));
     doubled.min(LONGEST_REST)
 }
--- a/crates/hatchpitch/src/registry/follow.rs
+++ b/crates/hatchpitch/src/registry/follow.rs
@@ -210,7 +210,7 @@
                 }
                 failures += 1;
                 followed.set_doubtful(source, true);
-                compio::time::sleep(backoff::rest(failures)).await;
+                compio::time::sleep(backoff::delay(failures)).await;
             }
         }
         if followed.from_settings.borrow().contains(&source) {
--- a/crates/hatchpitch/tests/feed.rs
+++ b/crates/hatchpitch/tests/feed.rs
@@ -136,7 +136,7 @@
 
 #[test]
 fn rests_grow_and_stay_bounded() {
-    let rests: Vec<u128> = (1..=6).map(|n| backoff::rest(n).as_millis()).collect();
-    assert_eq!(rests, [25, 50, 100, 200, 200, 200]);
-    assert_eq!(backoff::rest(u32::MAX), backoff::rest(6));
+    let delays: Vec<u128> = (1..=6).map(|n| backoff::delay(n).as_millis()).collect();
+    assert_eq!(delays, [25, 50, 100, 200, 200, 200]);
+    assert_eq!(backoff::delay(u32::MAX), backoff::delay(6));
 }
