--- a/crates/hatchpitch/src/entry/generation.rs
+++ b/crates/hatchpitch/src/entry/generation.rs
@@ -439,7 +439,7 @@
         if self.state.next_index() == 1 {
             self.begun = Some(clock::now());
             if let Some(slot) = self.slot.as_mut() {
-                slot.begun();
+                slot.record_first_token();
             }
             self.cx.metrics.time(Timing::FirstToken, pool, priority, clock::since(self.started));
             self.span.note("first_token_us", clock::since(self.started).as_micros());
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -85,7 +85,7 @@
     }
 
     /// Notes that the run made its first token.
-    pub fn begun(&mut self) {
+    pub fn record_first_token(&mut self) {
         self.report.first.get_or_insert(clock::since(self.since));
     }
 
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -399,7 +399,7 @@
         let gap = clock::since(self.last_progress);
         if self.first_event.is_none() {
             self.first_event = Some(clock::since(self.req.received));
-            self.slot.begun();
+            self.slot.record_first_token();
             metrics.time(Timing::FirstToken, route, priority, clock::since(self.req.received));
         } else {
             metrics.time(Timing::TokenGap, route, priority, gap);
