--- a/crates/hatchpitch/src/entry/boxes.rs
+++ b/crates/hatchpitch/src/entry/boxes.rs
@@ -14,7 +14,7 @@
 use crate::grants::task::{self as grants, ADOPT_PATH, GRANT_PATH, RELEASE_PATH, SYNC_PATH};
 use crate::membership::messages::{Gossip, ProbeRequest};
 use crate::membership::task::{self, GOSSIP_PATH, PING_PATH, PROBE_PATH};
-use crate::moves::ask::{self, TURN_DONE_PATH, TURN_PATH};
+use crate::moves::task::{self as turns, TURN_DONE_PATH, TURN_PATH};
 use crate::moves::{TurnDone, TurnRequest};
 use crate::outcome::text_response;
 use crate::upstream_heads::LeaverNews;
@@ -57,9 +57,9 @@
         RELEASE_PATH => open_message::<ReleaseRequest>(keys, path, &parts.headers, &body)
             .map(|req| cx.boxes.respond(&grants::release(&cx, &req))),
         TURN_PATH => open_message::<TurnRequest>(keys, path, &parts.headers, &body)
-            .map(|req| cx.boxes.respond(&ask::answer_turn(&cx, &req))),
+            .map(|req| cx.boxes.respond(&turns::answer_turn(&cx, &req))),
         TURN_DONE_PATH => open_message::<TurnDone>(keys, path, &parts.headers, &body)
-            .map(|done| cx.boxes.respond(&ask::take_turn_done(&cx, &done))),
+            .map(|done| cx.boxes.respond(&turns::answer_turn_done(&cx, &done))),
         ADOPT_PATH => open_message::<AdoptRequest>(keys, path, &parts.headers, &body)
             .map(|req| cx.boxes.respond(&grants::adopt(&cx, req))),
         PERMIT_PATH => open_message::<PermitRequest>(keys, path, &parts.headers, &body)
--- a/crates/hatchpitch/src/moves/mod.rs
+++ b/crates/hatchpitch/src/moves/mod.rs
@@ -5,12 +5,12 @@
 //! other copies, the stream would pause for all of them. So the runner's owner
 //! gives out turns: one generation is moved from its first copy to its last.
 
-pub mod ask;
 pub mod messages;
 pub mod mover;
-pub mod turns;
+pub mod state;
+pub mod task;
 pub mod verify;
 
 pub use messages::{TurnAnswer, TurnDone, TurnRequest};
-pub use mover::{Leaver, MoveEnd, Moved, start};
-pub use turns::Turns;
+pub use mover::{MoveOutcome, Moved, SourceRunner, start};
+pub use state::Turns;
--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -8,7 +8,7 @@
 use futures_channel::oneshot;
 use hatchpitch_net::clock;
 
-use super::ask::Turn;
+use super::task::Turn;
 use crate::dispatch::Want;
 use crate::grants::Slot;
 use crate::grants::task::obtain;
@@ -39,7 +39,7 @@
 }
 
 /// How a move ended.
-pub enum MoveEnd {
+pub enum MoveOutcome {
     /// The run was stopped and goes on from a copy.
     Moved(Moved),
     /// The run goes on at its runner.
@@ -50,7 +50,7 @@
 
 /// The runner that a generation is moved off.
 #[derive(Debug, Clone)]
-pub struct Leaver {
+pub struct SourceRunner {
     /// Its service.
     pub service: ServiceName,
     /// Its life.
@@ -64,7 +64,7 @@
 /// A move under way, as the stream sees it.
 pub struct Moving {
     /// Resolves with the end of the move.
-    pub end: oneshot::Receiver<MoveEnd>,
+    pub outcome: oneshot::Receiver<MoveOutcome>,
     stopping: Rc<Cell<bool>>,
 }
 
@@ -77,11 +77,11 @@
 
     /// Returns the end of the move if it came to nothing; one that stopped the run is left to be
     /// waited for, as the stream will close.
-    pub fn came_to_nothing(&mut self) -> bool {
+    pub fn has_failed(&mut self) -> bool {
         if self.stopping.get() {
             return false;
         }
-        matches!(self.end.try_recv(), Ok(Some(MoveEnd::Stays(_))) | Err(_))
+        matches!(self.outcome.try_recv(), Ok(Some(MoveOutcome::Stays(_))) | Err(_))
     }
 }
 
@@ -89,11 +89,11 @@
 pub fn start(
     relay: &Rc<Relay>,
     req: &Rc<HostedRequest>,
-    leaver: Leaver,
+    leaver: SourceRunner,
     at_stake: u64,
     in_memory: u64,
 ) -> Moving {
-    let (tx, end) = oneshot::channel();
+    let (tx, outcome) = oneshot::channel();
     let stopping = Rc::new(Cell::new(false));
     let mover = Mover {
         relay: relay.clone(),
@@ -112,13 +112,13 @@
         let _ = tx.send(ended);
     })
     .detach();
-    Moving { end, stopping }
+    Moving { outcome, stopping }
 }
 
 struct Mover {
     relay: Rc<Relay>,
     req: Rc<HostedRequest>,
-    leaver: Leaver,
+    leaver: SourceRunner,
     at_stake: u64,
     /// Tokens that the generation holds, for the room that it needs elsewhere.
     in_memory: u64,
@@ -127,11 +127,11 @@
 }
 
 impl Mover {
-    async fn run(&self) -> MoveEnd {
+    async fn run(&self) -> MoveOutcome {
         let turn = self.turn();
         if !turn.wait().await {
             turn.give_back();
-            return MoveEnd::Stays("the turn did not come".to_owned());
+            return MoveOutcome::Stays("the turn did not come".to_owned());
         }
         let ended = self.copy_and_stop().await;
         turn.give_back();
@@ -143,30 +143,30 @@
         Turn::new(cx, runner, self.id.clone(), self.at_stake)
     }
 
-    async fn copy_and_stop(&self) -> MoveEnd {
+    async fn copy_and_stop(&self) -> MoveOutcome {
         let slot = match self.slot().await {
             Ok(slot) => slot,
-            Err(cause) => return MoveEnd::Stays(cause),
+            Err(cause) => return MoveOutcome::Stays(cause),
         };
         if let Err(cause) = self.first_copy(slot.addr).await {
-            return MoveEnd::Stays(cause);
+            return MoveOutcome::Stays(cause);
         }
         if let Err(cause) = self.may_send().await {
-            return MoveEnd::Stays(cause.to_owned());
+            return MoveOutcome::Stays(cause.to_owned());
         }
         self.stopping.set(true);
         let source = self.leaver.addr;
         match self.copy(slot.addr, true).await {
             Ok(CopyAnswer { handle }) => {
-                MoveEnd::Moved(Moved { slot: Some(Box::new(slot)), source, handle })
+                MoveOutcome::Moved(Moved { slot: Some(Box::new(slot)), source, handle })
             }
             Err(CopyFailure::NoRoom { handle: Some(handle) }) => {
-                MoveEnd::Moved(Moved { slot: None, source, handle })
+                MoveOutcome::Moved(Moved { slot: None, source, handle })
             }
             Err(CopyFailure::NoSuchRun) => {
-                MoveEnd::Stays("it ended before it was stopped".to_owned())
+                MoveOutcome::Stays("it ended before it was stopped".to_owned())
             }
-            Err(err) => MoveEnd::Lost(err.to_string()),
+            Err(err) => MoveOutcome::Lost(err.to_string()),
         }
     }
 
@@ -235,12 +235,14 @@
         slot.map_err(|refusal| refusal.cause)
     }
 
-    fn log(&self, ended: &MoveEnd, started: Instant) {
+    fn log(&self, ended: &MoveOutcome, started: Instant) {
         let (outcome, to, cause) = match ended {
-            MoveEnd::Moved(Moved { slot: Some(slot), .. }) => ("moved", slot.runner.as_str(), ""),
-            MoveEnd::Moved(_) => ("back_at_source", "", ""),
-            MoveEnd::Stays(cause) => ("stays", "", cause.as_str()),
-            MoveEnd::Lost(cause) => ("lost", "", cause.as_str()),
+            MoveOutcome::Moved(Moved { slot: Some(slot), .. }) => {
+                ("moved", slot.runner.as_str(), "")
+            }
+            MoveOutcome::Moved(_) => ("back_at_source", "", ""),
+            MoveOutcome::Stays(cause) => ("stays", "", cause.as_str()),
+            MoveOutcome::Lost(cause) => ("lost", "", cause.as_str()),
         };
         log::info!(
             request = self.req.id.as_str(), upstream = self.leaver.runner.as_str(), to = to,
--- a/crates/hatchpitch/src/moves/ask.rs
+++ b/crates/hatchpitch/src/moves/task.rs
@@ -86,7 +86,7 @@
         let (cx, owner) = (self.cx.clone(), self.owner);
         let done = TurnDone { runner: self.runner.clone(), id: self.id.clone() };
         if owner == cx.settings.boxes_addr {
-            take_turn_done(&cx, &done);
+            answer_turn_done(&cx, &done);
             return;
         }
         compio::runtime::spawn(async move {
@@ -109,6 +109,6 @@
 }
 
 /// Takes a turn back.
-pub fn take_turn_done(cx: &EntryCx, done: &TurnDone) {
+pub fn answer_turn_done(cx: &EntryCx, done: &TurnDone) {
     cx.turns.borrow_mut().done(&done.runner, &done.id, clock::now());
 }
--- a/crates/hatchpitch/src/moves/verify.rs
+++ b/crates/hatchpitch/src/moves/verify.rs
@@ -1,6 +1,6 @@
 //! Checks the invariants of [`Turns`].
 
-use super::turns::Turns;
+use super::state::Turns;
 
 /// Checks that nobody waits for a turn that it has, or that is free.
 ///
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -21,7 +21,7 @@
 use crate::ids::ServiceName;
 use crate::metrics::{Count, STALL_THRESHOLD, Timing};
 use crate::moves::mover::Moving;
-use crate::moves::{self, Leaver, MoveEnd, Moved};
+use crate::moves::{self, MoveOutcome, Moved, SourceRunner};
 use crate::quarantine::ContentId;
 use crate::quarantine::observer::{self, RunPlace};
 use crate::registry::Phase;
@@ -244,7 +244,7 @@
     /// Begins a move once the runner leaves, and takes note of one that came to nothing.
     fn look_after_move(&mut self) {
         if let Some(moving) = &mut self.moving {
-            if moving.came_to_nothing() {
+            if moving.has_failed() {
                 self.moving = None;
                 self.next_move = clock::now() + MOVE_REST;
             }
@@ -268,14 +268,14 @@
             return;
         }
         self.moves += 1;
-        let leaver = Leaver {
+        let source = SourceRunner {
             service: self.service.clone(),
             runner: self.slot.runner.clone(),
             addr: self.slot.addr,
             failure_domain: self.slot.failure_domain.clone(),
         };
         let in_memory = needs.prompt + made;
-        self.moving = Some(moves::start(&self.relay, &self.req, leaver, at_stake, in_memory));
+        self.moving = Some(moves::start(&self.relay, &self.req, source, at_stake, in_memory));
     }
 
     fn look_at_roster(&mut self) {
@@ -296,12 +296,12 @@
             // A run that nobody has stopped ended by itself; its move comes to nothing.
             return Ok(None);
         }
-        let moved = match compio::time::timeout(MOVE_WAIT, moving.end).await {
-            Ok(Ok(MoveEnd::Moved(moved))) => moved,
-            Ok(Ok(MoveEnd::Stays(_))) => return Ok(None),
+        let moved = match compio::time::timeout(MOVE_WAIT, moving.outcome).await {
+            Ok(Ok(MoveOutcome::Moved(moved))) => moved,
+            Ok(Ok(MoveOutcome::Stays(_))) => return Ok(None),
             // A stopped run's stream is closed without its end, so this one was not stopped.
             _ if *closed == End::Whole => return Ok(None),
-            Ok(Ok(MoveEnd::Lost(cause))) => return Err(cause),
+            Ok(Ok(MoveOutcome::Lost(cause))) => return Err(cause),
             Ok(Err(_)) | Err(_) => return Err("the move did not end in time".to_owned()),
         };
         self.splitter.drop_part();
