--- a/crates/hatchpitch/src/grants/held.rs
+++ b/crates/hatchpitch/src/grants/held.rs
@@ -1,8 +1,8 @@
-//! The slots that a box holds, and the owners that have to know of them.
+//! The slots that a box holds, and the owner box that accounts for each of them.
 //!
-//! Load pattern answered: an owner that is gone, or engines that change owners because boxes come
-//! and go. The new owner knows nothing of what runs, and would fill engines that are full; so
-//! each box tells it of the slots that it holds there.
+//! An engine changes owner when its owner fails or when boxes join and leave. The new owner does
+//! not know which runs occupy the engine and would overcommit it, so each box reports the slots
+//! that it holds there.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -15,36 +15,36 @@
 /// A slot that this box holds.
 #[derive(Debug, Clone)]
 pub struct HeldSlot {
-    /// The box that counts it.
+    /// Address of the owner box that accounts for the slot.
     pub owner: SocketAddr,
-    /// The pool.
+    /// Pool of the engine.
     pub pool: PoolName,
-    /// The engine.
+    /// Engine that the slot is on.
     pub runner: RunnerName,
-    /// What was asked for.
+    /// Request that the slot was granted for.
     pub want: Want,
-    /// When it was granted.
+    /// Time of the grant.
     pub since: Instant,
-    /// Whether this box granted it, and so counts it until it is given back.
+    /// Whether this box granted the slot; its own gate then accounts for it until the release.
     pub granted_here: bool,
 }
 
-/// Slots by run.
+/// The slots that this box holds, by attempt id.
 #[derive(Debug, Default)]
 pub struct HeldSlots(HashMap<AttemptId, HeldSlot>);
 
 impl HeldSlots {
-    /// Notes a slot.
-    pub fn put(&mut self, id: AttemptId, held: HeldSlot) {
+    /// Records a slot.
+    pub fn insert(&mut self, id: AttemptId, held: HeldSlot) {
         self.0.insert(id, held);
     }
 
-    /// Takes a slot that is given back.
+    /// Removes a slot that is being released.
     pub fn remove(&mut self, id: &str) -> Option<HeldSlot> {
         self.0.remove(id)
     }
 
-    /// Returns the runs whose slots each owner counts.
+    /// Returns the attempts whose slots each owner accounts for.
     pub fn by_owner(&self) -> BTreeMap<SocketAddr, Vec<AttemptId>> {
         let mut owners: BTreeMap<SocketAddr, Vec<AttemptId>> = BTreeMap::new();
         for (id, held) in &self.0 {
@@ -53,43 +53,44 @@
         owners
     }
 
-    /// Returns the slots whose engine has another owner now, by that owner; `own` is the address
-    /// of this box.
-    pub fn strays(
+    /// Returns the slots whose engine has changed owner, by new owner. `own_addr` is the address of
+    /// this box. A slot that this box granted and whose engine it owns again is still accounted for
+    /// here, so its owner is updated and it is not returned.
+    pub fn reassigned(
         &mut self,
-        own: SocketAddr,
+        own_addr: SocketAddr,
         owner_of: impl Fn(&str) -> Option<SocketAddr>,
         now: Instant,
     ) -> BTreeMap<SocketAddr, Vec<AdoptedSlot>> {
-        let mut strays: BTreeMap<SocketAddr, Vec<AdoptedSlot>> = BTreeMap::new();
+        let mut reassigned: BTreeMap<SocketAddr, Vec<AdoptedSlot>> = BTreeMap::new();
         for held in self.0.values_mut() {
             let Some(owner) = owner_of(&held.runner).filter(|owner| *owner != held.owner) else {
                 continue;
             };
-            if owner == own && held.granted_here {
-                held.owner = own;
+            if owner == own_addr && held.granted_here {
+                held.owner = own_addr;
                 continue;
             }
-            strays.entry(owner).or_default().push(AdoptedSlot {
+            reassigned.entry(owner).or_default().push(AdoptedSlot {
                 pool: held.pool.clone(),
                 runner: held.runner.clone(),
                 want: held.want.clone(),
                 age: now.duration_since(held.since),
             });
         }
-        strays
+        reassigned
     }
 
-    /// Notes that an owner counts these slots from now on; returns those that were given back
-    /// meanwhile, of which the owner has to be told.
-    pub fn adopted(&mut self, owner: SocketAddr, ids: Vec<AttemptId>) -> Vec<AttemptId> {
-        let mut given_back = Vec::new();
+    /// Records that `owner` now accounts for these slots. Returns the attempts whose slots were
+    /// released in the meantime; the caller has to send their release to `owner`.
+    pub fn mark_adopted(&mut self, owner: SocketAddr, ids: Vec<AttemptId>) -> Vec<AttemptId> {
+        let mut released = Vec::new();
         for id in ids {
             match self.0.get_mut(&id) {
                 Some(held) => held.owner = owner,
-                None => given_back.push(id),
+                None => released.push(id),
             }
         }
-        given_back
+        released
     }
 }
--- a/crates/hatchpitch/src/grants/messages.rs
+++ b/crates/hatchpitch/src/grants/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between a box that has a request and the owner of an engine.
+//! Messages between the box that handles a request and the box that owns an engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,101 +12,102 @@
 /// Asks an owner for a slot on one of its engines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The box that asks.
+    /// Name of the box that asks.
     pub holder: BoxName,
-    /// The pool.
+    /// Pool to take the engine from.
     pub pool: PoolName,
-    /// What is wanted.
+    /// Request that the slot is for.
     pub want: Want,
-    /// What is asked for.
+    /// Kind of answer that is asked for.
     pub ask: Ask,
 }
 
-/// What an owner is asked for.
+/// Kind of answer that a [`GrantRequest`] asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
-    /// The load of the engine that the request would get; nothing is taken.
+    /// The load of the engine that the request would get; no slot is taken.
     Quote,
-    /// A slot at once.
+    /// A slot without waiting.
     Now,
-    /// A slot, after a wait if it must be.
+    /// A slot, queueing for it if necessary.
     Wait,
 }
 
-/// The owner's answer.
+/// Answer of an owner to a [`GrantRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum GrantAnswer {
-    /// A slot, until it is released.
+    /// A slot was granted; it is held until it is released.
     Granted {
-        /// The engine.
+        /// Engine that the slot is on.
         runner: RunnerName,
-        /// Where it listens.
+        /// Address of the engine.
         addr: SocketAddr,
-        /// Where it stands.
+        /// Failure domain of the engine.
         failure_domain: FailureDomainName,
-        /// Whether the owner counted the request by a limit that the engine names.
+        /// Whether the owner charged the request against a rate limit announced by the engine.
         #[serde(default)]
         counted: bool,
     },
-    /// The request would get a slot on an engine with this load.
+    /// A slot is available on an engine with this load.
     Quoted {
-        /// Share of slots and memory in use, and seconds of prompts to be read.
+        /// Share of slots and memory in use, plus the seconds needed to prefill waiting prompts.
         load: f64,
     },
-    /// The request would wait about this long.
+    /// No slot is available now.
     Busy {
-        /// Expected wait.
+        /// Expected wait for a slot.
         wait: Duration,
     },
-    /// The request is given up on.
+    /// The owner refused the request.
     Refused(Refusal),
-    /// The box owns no engine of the pool that takes work.
+    /// The box owns no engine of the pool that accepts work.
     NotOwner,
 }
 
-/// Gives a slot back.
+/// Releases a slot.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReleaseRequest {
-    /// The run.
+    /// Attempt that held the slot.
     pub id: AttemptId,
-    /// What is known of it.
+    /// Outcome of the run.
     pub report: RunReport,
 }
 
-/// Names all slots that a box holds from an owner; the owner drops what it does not name.
+/// Lists all slots that a box holds from an owner; the owner drops its other slots of that box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GrantSync {
-    /// The box.
+    /// Name of the box that holds the slots.
     pub holder: BoxName,
-    /// Its runs.
+    /// Attempts that hold the slots.
     pub ids: Vec<AttemptId>,
 }
 
-/// A slot whose engine has another owner than when it was granted.
+/// A slot whose engine has changed owner since the grant.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AdoptedSlot {
-    /// The pool.
+    /// Pool of the engine.
     pub pool: PoolName,
-    /// The engine.
+    /// Engine that the slot is on.
     pub runner: RunnerName,
-    /// What was asked for.
+    /// Request that the slot was granted for.
     pub want: Want,
-    /// How long it has been held.
+    /// Time since the grant.
     pub age: Duration,
 }
 
-/// Tells the new owner of engines which slots the sender holds there.
+/// Reports to the new owner of some engines the slots that the sender holds on them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AdoptRequest {
-    /// The box that holds them.
+    /// Name of the box that holds the slots.
     pub holder: BoxName,
-    /// The slots.
+    /// Slots on engines that the receiver owns.
     pub slots: Vec<AdoptedSlot>,
 }
 
-/// Which of the slots the box counts from now on.
+/// Answer to an [`AdoptRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AdoptAnswer {
-    /// Their runs; the box does not own the engines of the others.
+    /// Attempts whose slots the box accounts for from now on. It does not own the engines of the
+    /// others.
     pub adopted: Vec<AttemptId>,
 }
--- a/crates/hatchpitch/src/grants/mod.rs
+++ b/crates/hatchpitch/src/grants/mod.rs
@@ -1,9 +1,10 @@
-//! Slots of engines between the box that has a request and the box that owns the engine.
+//! Grants engine slots across boxes: the box that handles a request obtains a slot from the box
+//! that owns the engine.
 //!
-//! The owner knows exactly what it let in, so the lag of load reports stops
-//! mattering. Ownership is soft: two owners for a moment cost efficiency,
-//! never a promise, and with no owner in reach a box decides for itself.
-//! Which owner is asked for what, `dispatch` decides.
+//! The owner knows exactly which requests it admitted, so placement does not depend on delayed
+//! load reports. Ownership is a soft state: two simultaneous owners of an engine reduce
+//! efficiency but break no guarantee, and a box that reaches no owner admits requests itself.
+//! `dispatch` decides which owners are asked, and for what.
 
 pub mod held;
 pub mod messages;
--- a/crates/hatchpitch/src/grants/state.rs
+++ b/crates/hatchpitch/src/grants/state.rs
@@ -1,4 +1,4 @@
-//! The slots that an owner has given out.
+//! The slots that this box, as an owner of engines, has granted to other boxes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -7,7 +7,8 @@
 use crate::ids::{AttemptId, BoxName};
 use crate::routing::RunReport;
 
-/// Age from which on a slot has to be named by its holder to stay.
+/// Age beyond which a slot is dropped unless its holder lists it in a sync. A younger slot may not
+/// be known to its holder yet.
 const SYNC_GRACE: Duration = Duration::from_secs(4);
 
 struct Grant {
@@ -16,45 +17,46 @@
     permit: Permit,
 }
 
-/// Slots by run. Dropping an entry gives the slot back.
+/// Granted slots by attempt. Dropping an entry releases its slot.
 #[derive(Default)]
 pub struct GrantTable {
     grants: HashMap<AttemptId, Grant>,
 }
 
 impl GrantTable {
-    /// Notes a slot.
-    pub fn put(&mut self, id: AttemptId, holder: BoxName, permit: Permit, now: Instant) {
+    /// Records a granted slot.
+    pub fn insert(&mut self, id: AttemptId, holder: BoxName, permit: Permit, now: Instant) {
         self.grants.insert(id, Grant { holder, since: now, permit });
     }
 
-    /// Returns whether a slot is known.
+    /// Returns whether the attempt holds a slot.
     pub fn contains(&self, id: &str) -> bool {
         self.grants.contains_key(id)
     }
 
-    /// Takes a slot back. Nothing happens if it is not known.
+    /// Releases a slot. Does nothing if the attempt holds none.
     pub fn release(&mut self, id: &str, report: RunReport) {
         if let Some(mut grant) = self.grants.remove(id) {
             grant.permit.finish(report);
         }
     }
 
-    /// Drops the slots of a holder that it does not name; a lost release or answer ends here.
+    /// Drops the slots of a holder that it does not list. This reclaims slots whose release, or
+    /// whose grant answer, was lost.
     pub fn sync(&mut self, holder: &str, ids: &[AttemptId], now: Instant) {
-        let named: HashSet<&AttemptId> = ids.iter().collect();
+        let listed: HashSet<&AttemptId> = ids.iter().collect();
         self.grants.retain(|id, grant| {
-            let young = now.duration_since(grant.since) < SYNC_GRACE;
-            grant.holder != holder || young || named.contains(id)
+            let recent = now.duration_since(grant.since) < SYNC_GRACE;
+            grant.holder != holder || recent || listed.contains(id)
         });
     }
 
-    /// Drops the slots of holders that are gone.
-    pub fn retain_holders(&mut self, lives: impl Fn(&str) -> bool) {
-        self.grants.retain(|_, grant| lives(&grant.holder));
+    /// Drops the slots of holders for which `is_alive` returns false.
+    pub fn retain_holders(&mut self, is_alive: impl Fn(&str) -> bool) {
+        self.grants.retain(|_, grant| is_alive(&grant.holder));
     }
 
-    /// Returns how many slots each holder has.
+    /// Returns the number of slots by holder.
     pub fn counts(&self) -> BTreeMap<BoxName, usize> {
         let mut counts = BTreeMap::new();
         for grant in self.grants.values() {
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -1,4 +1,4 @@
-//! Asks owners for slots, answers those who ask, and gives slots back.
+//! I/O of slot grants: requests slots from owners, answers grant requests and releases slots.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,89 +24,95 @@
 use crate::routing::{RunReport, Verdict};
 use crate::upstream_limits::task as upstream_limits;
 
-/// Path for slots.
+/// Path of grant requests.
 pub const GRANT_PATH: &str = "/box/grant";
-/// Path for giving slots back.
+/// Path of slot releases.
 pub const RELEASE_PATH: &str = "/box/release";
-/// Path for naming the slots held.
+/// Path of periodic syncs, which list the slots that a box holds.
 pub const SYNC_PATH: &str = "/box/grant-sync";
-/// Path for telling the new owner of engines which slots are held there.
+/// Path on which a new owner of engines is told of the slots held on them.
 pub const ADOPT_PATH: &str = "/box/grant-adopt";
-/// Time between two looks whether engines changed owners: a tenth of the time in which a new
-/// owner fills an engine that it takes for empty.
-const HAND_OVER_LOOK: Duration = Duration::from_millis(200);
-/// Time for a quote; a box that takes longer is passed over.
-const QUOTE_LIMIT: Duration = Duration::from_millis(150);
-/// Time for a call that does not wait.
-const CALL_LIMIT: Duration = Duration::from_millis(1_000);
-/// Time allowed beyond the longest wait.
-const WAIT_MARGIN: Duration = Duration::from_millis(1_000);
-/// Time between two namings of the slots held.
-const SYNC_PERIOD: Duration = Duration::from_secs(2);
-/// When a request for which no owner answers may come back.
-const NO_OWNER_RETRY: Duration = Duration::from_secs(1);
-/// Permits or slots that are asked for in vain before a request goes to upstreams only that name no
-/// limit, or is refused: each question takes a round trip between boxes.
-const MAX_ASKED: usize = 3;
-/// Engines at rest that an owner is told to leave out, which bounds its message: of others that it
-/// grants the slot goes back.
-const MAX_LEFT_OUT: usize = 64;
-/// When a request may come back whose slots went to upstreams that began to rest meanwhile.
-const RESTED_RETRY: Duration = Duration::from_millis(250);
-
-/// A slot on an engine, wherever it was granted; dropping it gives it back.
+/// Interval between checks for engines that changed owner: a tenth of the time in which a new owner
+/// fills an engine that it believes to be empty.
+const HAND_OVER_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of a quote; a box that takes longer is skipped.
+const QUOTE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout of a call that does not queue for a slot.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time added to the longest queueing time for the timeout of a grant request that may queue.
+const QUEUE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
+/// Interval between syncs.
+const SYNC_INTERVAL: Duration = Duration::from_secs(2);
+/// Suggested retry delay of a request for which no owner answers.
+const NO_OWNER_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Failed attempts to obtain a permit or slot before a request is restricted to upstreams without a
+/// rate limit, or refused: each attempt takes a round trip between boxes.
+const MAX_ATTEMPTS: usize = 3;
+/// Resting engines that a grant request excludes, which bounds the size of the message. If the owner
+/// grants a slot on another resting engine, the slot is released again.
+const MAX_EXCLUDED_RESTING: usize = 64;
+/// Suggested retry delay of a request whose slots were all on upstreams that began to rest or
+/// leave in the meantime.
+const RESTING_RETRY_AFTER: Duration = Duration::from_millis(250);
+
+/// A slot on an engine, granted by this box or by another one. Dropping it releases the slot.
 pub struct Slot {
     cx: Rc<EntryCx>,
-    /// The engine.
+    /// Engine that the slot is on.
     pub runner: RunnerName,
-    /// Where it listens.
+    /// Address of the engine.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the engine.
     pub failure_domain: FailureDomainName,
     id: AttemptId,
-    from: Source,
-    /// When it was granted.
+    source: GrantSource,
+    /// Time of the grant.
     since: Instant,
     report: RunReport,
 }
 
-enum Source {
-    /// This box let the request in.
-    Own(Box<Permit>),
-    /// Another box did.
+/// The box that granted a slot.
+enum GrantSource {
+    /// This box admitted the request.
+    Local(Box<Permit>),
+    /// Another box, the owner of the engine, admitted it.
     Owner,
 }
 
 impl Slot {
-    /// Notes what the run says about its engine, and the length of its output.
+    /// Sets the verdict on the engine and the number of output tokens in the report that is sent
+    /// with the release.
     pub fn finish(&mut self, verdict: Verdict, tokens: Option<u64>) {
         self.report.verdict = verdict;
         self.report.tokens = tokens;
     }
 
-    /// Notes that the run made its first token.
+    /// Records the time to the first token.
     pub fn record_first_token(&mut self) {
         self.report.first.get_or_insert(clock::since(self.since));
     }
 
-    /// Returns whether the engine still wants work of this box.
-    fn is_wanted(&self) -> bool {
+    /// Returns whether the engine still accepts work from this box, i.e. whether it has not asked
+    /// this box to rest.
+    fn runner_accepts(&self) -> bool {
         let (mut rests, now) = (self.cx.rests.borrow_mut(), clock::now());
-        match &self.from {
-            // It was taken with the slot.
-            Source::Own(_) => rests.left(&self.runner, now).is_none(),
-            Source::Owner => rests.take(&self.runner, now),
+        match &self.source {
+            // Local admission has already counted this request against the few that may be sent
+            // to an upstream right after its rest.
+            GrantSource::Local(_) => rests.left(&self.runner, now).is_none(),
+            GrantSource::Owner => rests.take(&self.runner, now),
         }
     }
 
-    fn own(cx: &Rc<EntryCx>, id: AttemptId, permit: Permit) -> Self {
+    /// Creates a slot that this box granted to itself.
+    fn local(cx: &Rc<EntryCx>, id: AttemptId, permit: Permit) -> Self {
         Self {
             cx: cx.clone(),
             runner: permit.runner.name.clone(),
             addr: permit.runner.addr,
             failure_domain: permit.runner.failure_domain.clone(),
             id,
-            from: Source::Own(Box::new(permit)),
+            source: GrantSource::Local(Box::new(permit)),
             since: clock::now(),
             report: RunReport::RELEASED,
         }
@@ -115,7 +121,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if let Source::Own(permit) = &mut self.from {
+        if let GrantSource::Local(permit) = &mut self.source {
             permit.finish(self.report);
         }
         let Some(held) = self.cx.held.borrow_mut().remove(&self.id) else { return };
@@ -124,56 +130,62 @@
     }
 }
 
-/// Tells an owner that a slot is given back, without waiting for its answer.
+/// Releases a slot at its owner without waiting for the answer. If the message is lost, the owner
+/// drops the slot at a later sync.
 fn send_release(cx: &EntryCx, owner: SocketAddr, req: ReleaseRequest) {
     if owner == cx.settings.boxes_addr {
         return release(cx, &req);
     }
     let client = cx.boxes.clone();
     compio::runtime::spawn(async move {
-        let call = client.call::<_, ()>(owner, RELEASE_PATH, &req, CALL_LIMIT);
+        let call = client.call::<_, ()>(owner, RELEASE_PATH, &req, CALL_TIMEOUT);
         if let Err(err) = call.await {
-            log::debug!("release: {err}; the next sync makes up for it");
+            log::debug!("release of a slot: {err}; a later sync will drop it");
         }
     })
     .detach();
 }
 
-/// Gets a slot for a request that this box sends. Whoever grants it knows nothing of the rests that
-/// upstreams asked this box for, and one may begin while the request waits.
+/// Obtains a slot for a request that this box sends.
+///
+/// An owner does not know which upstreams asked this box to rest, and a rest may begin while the
+/// request is queued. A slot on an upstream that rests or no longer serves is therefore released,
+/// and another one is requested.
 ///
 /// # Errors
 ///
-/// Returns a [`Refusal`] as soon as the request is given up on.
+/// Returns a [`Refusal`] if no slot can be obtained within the limits of the request.
 pub async fn obtain(cx: &Rc<EntryCx>, pool: &str, mut want: Want) -> Result<Slot, Refusal> {
-    for _ in 0..MAX_ASKED {
-        let slot = obtain_any(cx, pool, want.clone()).await?;
+    for _ in 0..MAX_ATTEMPTS {
+        let slot = obtain_unchecked(cx, pool, want.clone()).await?;
         if !cx.upstream_serves(&slot.runner) {
             want.avoid.push(slot.runner.clone());
-        } else if slot.is_wanted() {
+        } else if slot.runner_accepts() {
             return Ok(slot);
         }
-        // The slot that goes back has the former id.
+        // The slot released here used the previous id.
         want.id = new_id();
     }
-    Err(Refusal::new(RESTING, RESTED_RETRY))
+    Err(Refusal::new(RESTING, RESTING_RETRY_AFTER))
 }
 
-async fn obtain_any(cx: &Rc<EntryCx>, pool: &str, want: Want) -> Result<Slot, Refusal> {
+/// Obtains a slot at this box or at an owner, as the placement policy says. The slot may be on an
+/// engine that rests by now.
+async fn obtain_unchecked(cx: &Rc<EntryCx>, pool: &str, want: Want) -> Result<Slot, Refusal> {
     let view = cx.sync_gates();
     let placement = view.pools.iter().find(|p| p.pool.name == pool).map(|p| cx.placement(p));
     if placement.unwrap_or(cx.settings.policy.placement) == Placement::Local {
-        return obtain_here(cx, pool, want).await;
+        return obtain_local(cx, pool, want).await;
     }
-    await_rests(cx, pool, &want).await?;
-    Asking { cx: cx.clone(), pool: pool.to_owned(), want }.ask().await
+    await_accepting_runner(cx, pool, &want).await?;
+    OwnerSearch { cx: cx.clone(), pool: pool.to_owned(), want }.run().await
 }
 
-/// Waits until some engine that could take a request wants work of this box.
-async fn await_rests(cx: &EntryCx, pool: &str, want: &Want) -> Result<(), Refusal> {
+/// Waits until at least one eligible engine accepts work from this box.
+async fn await_accepting_runner(cx: &EntryCx, pool: &str, want: &Want) -> Result<(), Refusal> {
     let started = clock::now();
     let longest = want.limit_wait.or(want.max_wait).unwrap_or(cx.settings.timing.max_wait);
-    while let Some(opens_in) = rests_of_all(cx, pool, want) {
+    while let Some(opens_in) = time_until_accepting(cx, pool, want) {
         if clock::since(started) + opens_in > longest {
             return Err(closed_to(want, Closed { opens_in, rests: true }));
         }
@@ -182,49 +194,50 @@
     Ok(())
 }
 
-/// Returns the time until the first engine that could take a request wants work of this box, if
-/// none does now.
-fn rests_of_all(cx: &EntryCx, pool: &str, want: &Want) -> Option<Duration> {
+/// Returns the time until the first eligible engine accepts work from this box, or `None` if one
+/// accepts it now, or if no engine is eligible.
+fn time_until_accepting(cx: &EntryCx, pool: &str, want: &Want) -> Option<Duration> {
     if cx.rests.borrow().is_empty() {
         return None;
     }
     let (view, now) = (cx.sync_gates(), clock::now());
     let pool = view.pools.iter().find(|p| p.pool.name == pool)?;
     let rests = cx.rests.borrow();
-    let could = pool.runners.iter().filter(|runner| {
+    let eligible = pool.runners.iter().filter(|runner| {
         want.may_run_at(&runner.name, &runner.failure_domain) && cx.upstream_serves(&runner.name)
     });
-    let mut first: Option<Duration> = None;
-    for runner in could {
+    let mut shortest: Option<Duration> = None;
+    for runner in eligible {
         let opens_in = rests.opens_in(&runner.name, now);
         if opens_in.is_zero() {
             return None;
         }
-        first = Some(first.map_or(opens_in, |first| first.min(opens_in)));
+        shortest = Some(shortest.map_or(opens_in, |shortest| shortest.min(opens_in)));
     }
-    first
+    shortest
 }
 
-/// Gets a slot for which this box decides. Limits of the upstreams are kept by others as well; one
-/// that turns out to be at its limit is not picked again until it has room.
-async fn obtain_here(cx: &Rc<EntryCx>, pool: &str, mut want: Want) -> Result<Slot, Refusal> {
-    let mut asked = 0;
+/// Obtains a slot by this box's own admission. The rate limits of upstreams are shared with other
+/// boxes, so a permit may be denied; the upstream is then not selected again until it has capacity.
+async fn obtain_local(cx: &Rc<EntryCx>, pool: &str, mut want: Want) -> Result<Slot, Refusal> {
+    let mut denied = 0;
     loop {
         let permit = cx.gate(pool).admit(want.clone()).await?;
-        match confirmed(cx, permit, &want).await {
-            Ok(permit) => return Ok(Slot::own(cx, want.id, permit)),
+        match confirm_limit(cx, permit, &want).await {
+            Ok(permit) => return Ok(Slot::local(cx, want.id, permit)),
             Err(wait) if want.skips_limited => return Err(Refusal::new(AT_LIMIT, wait)),
-            Err(_) => asked += 1,
+            Err(_) => denied += 1,
         }
-        if asked >= MAX_ASKED {
+        if denied >= MAX_ATTEMPTS {
             want.skips_limited = true;
             want.limit_wait = Some(Duration::ZERO);
         }
     }
 }
 
-/// Gets what the limit of a runner asks for beside the slot, or gives the slot back.
-async fn confirmed(cx: &Rc<EntryCx>, permit: Permit, want: &Want) -> Result<Permit, Duration> {
+/// Obtains the permit that the rate limit of a runner requires in addition to the slot. If it is
+/// denied, releases the slot and returns the wait.
+async fn confirm_limit(cx: &Rc<EntryCx>, permit: Permit, want: &Want) -> Result<Permit, Duration> {
     match upstream_limits::confirm(cx, &permit.runner.name, want.priority).await {
         Ok(()) => Ok(permit),
         Err(wait) => {
@@ -234,41 +247,43 @@
     }
 }
 
-/// One request that looks for an owner with room.
-struct Asking {
+/// The search of one request for an owner with a free slot.
+struct OwnerSearch {
     cx: Rc<EntryCx>,
     pool: String,
     want: Want,
 }
 
-/// What one owner said.
-enum Said {
+/// Result of asking one owner.
+enum OwnerReply {
     Quoted(Quote),
     Slot(Box<Slot>),
+    /// No slot is available; the duration is the expected wait.
     Busy(Duration),
     Refused(Refusal),
-    Away,
+    /// The owner did not answer, or no longer owns engines of the pool.
+    Unavailable,
 }
 
-impl Asking {
-    async fn ask(self) -> Result<Slot, Refusal> {
+impl OwnerSearch {
+    async fn run(self) -> Result<Slot, Refusal> {
         let mut search = self.search();
         loop {
             let (owner, ask) = match search.step() {
                 Step::Quote(owners) => {
-                    search.heard_quotes(self.quotes(owners).await);
+                    search.heard_quotes(self.request_quotes(owners).await);
                     continue;
                 }
                 Step::Take(owner) => (owner, Ask::Now),
                 Step::Wait(owner) => (owner, Ask::Wait),
                 Step::Refuse(refusal) => return Err(refusal),
-                Step::Alone => return self.alone().await,
+                Step::Alone => return self.admit_without_owner().await,
             };
             match self.ask_owner(owner, ask).await {
-                Said::Slot(slot) => return Ok(*slot),
-                Said::Busy(wait) => search.heard_busy(owner, wait),
-                Said::Refused(refusal) => search.heard_refusal(refusal),
-                Said::Quoted(_) | Said::Away => {}
+                OwnerReply::Slot(slot) => return Ok(*slot),
+                OwnerReply::Busy(wait) => search.heard_busy(owner, wait),
+                OwnerReply::Refused(refusal) => search.heard_refusal(refusal),
+                OwnerReply::Quoted(_) | OwnerReply::Unavailable => {}
             }
         }
     }
@@ -287,114 +302,121 @@
         Search::new(owners, accepts, quotes, rand::random::<u64>)
     }
 
-    /// Decides for itself, with no owner in reach.
-    async fn alone(&self) -> Result<Slot, Refusal> {
+    /// Admits the request at this box because no owner can be reached.
+    async fn admit_without_owner(&self) -> Result<Slot, Refusal> {
         log::info!(run = self.want.id.as_str(), pool = self.pool.as_str(); "no owner in reach; this box decides");
         let gate = self.cx.fallback_gate(&self.pool);
         let id = self.want.id.clone();
         let permit = gate.try_admit(&self.want)?;
-        let none = || Refusal::new("no owner of the pool's engines answers", NO_OWNER_RETRY);
-        let confirmed = confirmed(&self.cx, permit.ok_or_else(none)?, &self.want).await;
+        let none = || Refusal::new("no owner of the pool's engines answers", NO_OWNER_RETRY_AFTER);
+        let confirmed = confirm_limit(&self.cx, permit.ok_or_else(none)?, &self.want).await;
         let permit = confirmed.map_err(|wait| Refusal::new(AT_LIMIT, wait))?;
-        Ok(Slot::own(&self.cx, id, permit))
+        Ok(Slot::local(&self.cx, id, permit))
     }
 
-    /// Asks owners for quotes, all at once. One that does not answer is left out.
-    async fn quotes(&self, owners: Vec<SocketAddr>) -> Vec<(SocketAddr, Quote)> {
-        let asked = owners.into_iter().map(|owner| async move {
+    /// Requests quotes from owners concurrently. Owners that do not answer are omitted.
+    async fn request_quotes(&self, owners: Vec<SocketAddr>) -> Vec<(SocketAddr, Quote)> {
+        let requests = owners.into_iter().map(|owner| async move {
             match self.ask_owner(owner, Ask::Quote).await {
-                Said::Quoted(quote) => Some((owner, quote)),
-                Said::Busy(wait) => Some((owner, Quote::Busy(wait))),
-                Said::Slot(_) | Said::Refused(_) | Said::Away => None,
+                OwnerReply::Quoted(quote) => Some((owner, quote)),
+                OwnerReply::Busy(wait) => Some((owner, Quote::Busy(wait))),
+                OwnerReply::Slot(_) | OwnerReply::Refused(_) | OwnerReply::Unavailable => None,
             }
         });
-        let answers = futures_util::future::join_all(asked).await;
+        let answers = futures_util::future::join_all(requests).await;
         answers.into_iter().flatten().collect()
     }
 
-    async fn ask_owner(&self, owner: SocketAddr, ask: Ask) -> Said {
+    async fn ask_owner(&self, owner: SocketAddr, ask: Ask) -> OwnerReply {
         if owner == self.cx.settings.boxes_addr {
-            return self.ask_self(ask).await;
+            return self.ask_local(ask).await;
         }
         let req = GrantRequest {
             holder: self.cx.settings.name.clone(),
             pool: self.pool.clone(),
-            want: self.want_elsewhere(),
+            want: self.remote_want(),
             ask,
         };
         let limit = match ask {
-            Ask::Wait => self.cx.settings.timing.max_wait + WAIT_MARGIN,
-            Ask::Now => CALL_LIMIT,
-            Ask::Quote => QUOTE_LIMIT,
+            Ask::Wait => self.cx.settings.timing.max_wait + QUEUE_TIMEOUT_MARGIN,
+            Ask::Now => CALL_TIMEOUT,
+            Ask::Quote => QUOTE_TIMEOUT,
         };
         let answer = self.cx.boxes.call::<_, GrantAnswer>(owner, GRANT_PATH, &req, limit).await;
         match answer {
             Ok(GrantAnswer::Granted { runner, addr, failure_domain, counted }) => {
-                let slot = self.granted(owner, runner, addr, failure_domain);
-                if counted { Said::Slot(Box::new(slot)) } else { self.counted(slot).await }
+                let slot = self.slot_from_owner(owner, runner, addr, failure_domain);
+                if counted {
+                    OwnerReply::Slot(Box::new(slot))
+                } else {
+                    self.with_limit_permit(slot).await
+                }
             }
-            Ok(GrantAnswer::Quoted { load }) => Said::Quoted(Quote::Room(load)),
-            Ok(GrantAnswer::Busy { wait }) => Said::Busy(wait),
-            Ok(GrantAnswer::Refused(refusal)) => Said::Refused(refusal),
-            Ok(GrantAnswer::NotOwner) => Said::Away,
+            Ok(GrantAnswer::Quoted { load }) => OwnerReply::Quoted(Quote::Room(load)),
+            Ok(GrantAnswer::Busy { wait }) => OwnerReply::Busy(wait),
+            Ok(GrantAnswer::Refused(refusal)) => OwnerReply::Refused(refusal),
+            Ok(GrantAnswer::NotOwner) => OwnerReply::Unavailable,
             Err(err) => {
-                log::debug!("grant: {err}");
-                Said::Away
+                log::debug!("grant request: {err}");
+                OwnerReply::Unavailable
             }
         }
     }
 
-    /// Returns what another box is asked for: engines that asked this one for rest are left out.
-    fn want_elsewhere(&self) -> Want {
+    /// Returns the request as sent to another box, which excludes engines that asked this box to
+    /// rest.
+    fn remote_want(&self) -> Want {
         let mut want = self.want.clone();
         let rests = self.cx.rests.borrow();
-        want.avoid.extend(rests.closed(clock::now()).take(MAX_LEFT_OUT).cloned());
+        want.avoid.extend(rests.closed(clock::now()).take(MAX_EXCLUDED_RESTING).cloned());
         want
     }
 
-    /// Gets the permit for an engine whose owner knows of no limit, if this box knows of one: an
-    /// owner that has started anew would let in whatever comes until it is told.
-    async fn counted(&self, slot: Slot) -> Said {
+    /// Obtains the limit permit for a slot whose owner knows of no rate limit of the engine, if this
+    /// box knows of one. An owner that has just restarted knows no limits and would admit without
+    /// bound until it is told of them.
+    async fn with_limit_permit(&self, slot: Slot) -> OwnerReply {
         match upstream_limits::obtain(&self.cx, &slot.runner, self.want.priority).await {
-            Ok(()) => Said::Slot(Box::new(slot)),
-            Err(wait) => Said::Busy(wait),
+            Ok(()) => OwnerReply::Slot(Box::new(slot)),
+            Err(wait) => OwnerReply::Busy(wait),
         }
     }
 
-    fn granted(
+    /// Creates the slot for a grant of another box and records that it is held.
+    fn slot_from_owner(
         &self,
         owner: SocketAddr,
         runner: RunnerName,
         addr: SocketAddr,
         failure_domain: FailureDomainName,
     ) -> Slot {
-        self.note_held(owner, &runner);
+        self.record_held(owner, &runner);
         Slot {
             cx: self.cx.clone(),
             runner,
             addr,
             failure_domain,
             id: self.want.id.clone(),
-            from: Source::Owner,
+            source: GrantSource::Owner,
             since: clock::now(),
             report: RunReport::RELEASED,
         }
     }
 
-    async fn ask_self(&self, ask: Ask) -> Said {
+    async fn ask_local(&self, ask: Ask) -> OwnerReply {
         match decide(&self.cx, &self.cx.gate(&self.pool), &self.want, ask).await {
-            Decided::Quote(load) => Said::Quoted(Quote::Room(load)),
-            Decided::Permit(permit) => {
-                self.note_held(self.cx.settings.boxes_addr, &permit.runner.name);
-                Said::Slot(Box::new(Slot::own(&self.cx, self.want.id.clone(), *permit)))
+            GrantDecision::Quote(load) => OwnerReply::Quoted(Quote::Room(load)),
+            GrantDecision::Permit(permit) => {
+                self.record_held(self.cx.settings.boxes_addr, &permit.runner.name);
+                OwnerReply::Slot(Box::new(Slot::local(&self.cx, self.want.id.clone(), *permit)))
             }
-            Decided::Busy(wait) => Said::Busy(wait),
-            Decided::Refused(refusal) => Said::Refused(refusal),
-            Decided::NotOwner => Said::Away,
+            GrantDecision::Busy(wait) => OwnerReply::Busy(wait),
+            GrantDecision::Refused(refusal) => OwnerReply::Refused(refusal),
+            GrantDecision::NotOwner => OwnerReply::Unavailable,
         }
     }
 
-    fn note_held(&self, owner: SocketAddr, runner: &str) {
+    fn record_held(&self, owner: SocketAddr, runner: &str) {
         let held = HeldSlot {
             owner,
             pool: self.pool.clone(),
@@ -403,69 +425,71 @@
             since: clock::now(),
             granted_here: owner == self.cx.settings.boxes_addr,
         };
-        self.cx.held.borrow_mut().put(self.want.id.clone(), held);
+        self.cx.held.borrow_mut().insert(self.want.id.clone(), held);
     }
 }
 
-/// What an owner decides, whether for itself or for another box.
-enum Decided {
+/// Decision of an owner on a grant request of its own or of another box.
+enum GrantDecision {
+    /// Load of the engine that the request would get.
     Quote(f64),
     Permit(Box<Permit>),
+    /// No slot is available; the duration is the expected wait.
     Busy(Duration),
     Refused(Refusal),
     NotOwner,
 }
 
-async fn decide(cx: &Rc<EntryCx>, gate: &Gate, want: &Want, ask: Ask) -> Decided {
+async fn decide(cx: &Rc<EntryCx>, gate: &Gate, want: &Want, ask: Ask) -> GrantDecision {
     if ask == Ask::Quote {
         return match gate.quote(want) {
-            Ok(Quote::Room(load)) => Decided::Quote(load),
-            Ok(Quote::Busy(wait)) => Decided::Busy(wait),
-            Err(_) => Decided::NotOwner,
+            Ok(Quote::Room(load)) => GrantDecision::Quote(load),
+            Ok(Quote::Busy(wait)) => GrantDecision::Busy(wait),
+            Err(_) => GrantDecision::NotOwner,
         };
     }
     let admitted = match gate.try_admit(want) {
         Ok(Some(permit)) => permit,
-        Ok(None) if ask != Ask::Wait => return Decided::Busy(gate.expected_wait(want)),
+        Ok(None) if ask != Ask::Wait => return GrantDecision::Busy(gate.expected_wait(want)),
         Ok(None) => match gate.admit(want.clone()).await {
             Ok(permit) => permit,
-            Err(refusal) => return Decided::Refused(refusal),
+            Err(refusal) => return GrantDecision::Refused(refusal),
         },
-        Err(_) => return Decided::NotOwner,
+        Err(_) => return GrantDecision::NotOwner,
     };
-    match confirmed(cx, admitted, want).await {
-        Ok(permit) => Decided::Permit(Box::new(permit)),
-        Err(wait) => Decided::Busy(wait),
+    match confirm_limit(cx, admitted, want).await {
+        Ok(permit) => GrantDecision::Permit(Box::new(permit)),
+        Err(wait) => GrantDecision::Busy(wait),
     }
 }
 
-/// Answers a box that asks for a slot.
+/// Answers the grant request of another box.
 pub async fn answer(cx: &Rc<EntryCx>, req: GrantRequest) -> GrantAnswer {
     cx.sync_gates();
     let permit = match decide(cx, &cx.gate(&req.pool), &req.want, req.ask).await {
-        Decided::Quote(load) => return GrantAnswer::Quoted { load },
-        Decided::Permit(permit) => *permit,
-        Decided::Busy(wait) => return GrantAnswer::Busy { wait },
-        Decided::Refused(refusal) => return GrantAnswer::Refused(refusal),
-        Decided::NotOwner => return GrantAnswer::NotOwner,
+        GrantDecision::Quote(load) => return GrantAnswer::Quoted { load },
+        GrantDecision::Permit(permit) => *permit,
+        GrantDecision::Busy(wait) => return GrantAnswer::Busy { wait },
+        GrantDecision::Refused(refusal) => return GrantAnswer::Refused(refusal),
+        GrantDecision::NotOwner => return GrantAnswer::NotOwner,
     };
     let RunnerSpec { name: runner, addr, failure_domain, .. } = permit.runner.clone();
-    cx.grants.borrow_mut().put(req.want.id, req.holder, permit, clock::now());
+    cx.grants.borrow_mut().insert(req.want.id, req.holder, permit, clock::now());
     let counted = cx.limits.borrow().limit(&runner).is_some();
     GrantAnswer::Granted { runner, addr, failure_domain, counted }
 }
 
-/// Takes a slot back.
+/// Releases a slot that this box granted.
 pub fn release(cx: &EntryCx, req: &ReleaseRequest) {
     cx.grants.borrow_mut().release(&req.id, req.report);
 }
 
-/// Drops what a holder does not name.
+/// Drops the slots of a holder that its sync does not list.
 pub fn sync(cx: &EntryCx, req: &GrantSync) {
     cx.grants.borrow_mut().sync(&req.holder, &req.ids, clock::now());
 }
 
-/// Counts slots that other owners granted.
+/// Accounts for slots that former owners granted on engines that this box owns now.
 pub fn adopt(cx: &EntryCx, req: AdoptRequest) -> AdoptAnswer {
     cx.sync_gates();
     let mut adopted = Vec::new();
@@ -477,70 +501,74 @@
         }
         if let Some(permit) = cx.gate(&pool).adopt(&runner, want, age) {
             let holder = req.holder.clone();
-            cx.grants.borrow_mut().put(id.clone(), holder, permit, clock::now());
+            cx.grants.borrow_mut().insert(id.clone(), holder, permit, clock::now());
             adopted.push(id);
         }
     }
     AdoptAnswer { adopted }
 }
 
-/// Tells new owners of engines which slots this box holds there, as soon as owners change.
+/// Reports the slots that this box holds to the new owner whenever an engine changes owner, until
+/// the owner has adopted them.
 pub async fn hand_over(cx: Rc<EntryCx>, stop: Stop) {
     while !stop.is_set() {
-        compio::time::sleep(HAND_OVER_LOOK).await;
+        compio::time::sleep(HAND_OVER_INTERVAL).await;
         cx.sync_gates();
-        let own = cx.settings.boxes_addr;
+        let own_addr = cx.settings.boxes_addr;
         let owner_of = |runner: &str| cx.owner_addr(runner);
-        let strays = cx.held.borrow_mut().strays(own, owner_of, clock::now());
-        for (owner, slots) in strays {
+        let reassigned = cx.held.borrow_mut().reassigned(own_addr, owner_of, clock::now());
+        for (owner, slots) in reassigned {
             let (count, holder) = (slots.len(), cx.settings.name.clone());
             let req = AdoptRequest { holder, slots };
-            let answer = if owner == own {
+            let answer = if owner == own_addr {
                 Ok(adopt(&cx, req))
             } else {
-                cx.boxes.call::<_, AdoptAnswer>(owner, ADOPT_PATH, &req, CALL_LIMIT).await
+                cx.boxes.call::<_, AdoptAnswer>(owner, ADOPT_PATH, &req, CALL_TIMEOUT).await
             };
             match answer {
                 Ok(AdoptAnswer { adopted }) if adopted.is_empty() => {
-                    log::debug!("hand over: {owner} does not own the engines yet");
+                    log::debug!(
+                        "hand-over of slots: {owner} does not consider itself the owner yet"
+                    );
                 }
                 Ok(AdoptAnswer { adopted }) => {
                     log::info!(owner:%, slots = count, adopted = adopted.len(); "slots handed over");
-                    let given_back = cx.held.borrow_mut().adopted(owner, adopted);
-                    for id in given_back {
+                    let released = cx.held.borrow_mut().mark_adopted(owner, adopted);
+                    for id in released {
                         let report = RunReport::RELEASED;
                         send_release(&cx, owner, ReleaseRequest { id, report });
                     }
                 }
-                Err(err) => log::debug!("hand over: {err}; tried again at the next look"),
+                Err(err) => log::debug!("hand-over of slots: {err}; retried at the next check"),
             }
         }
     }
 }
 
-/// Names the slots held to their owners, and drops the slots of boxes that are gone.
+/// Periodically lists the held slots to their owners, and drops granted slots whose holder is dead.
 pub async fn run(cx: Rc<EntryCx>, stop: Stop) {
-    // Owners that had slots at the last round hear once more when they have none.
-    let mut last: BTreeMap<SocketAddr, Vec<AttemptId>> = BTreeMap::new();
+    // An owner that had slots in the previous round gets one empty sync when it has none, so that
+    // it drops those whose release was lost.
+    let mut previous: BTreeMap<SocketAddr, Vec<AttemptId>> = BTreeMap::new();
     while !stop.is_set() {
-        compio::time::sleep(SYNC_PERIOD).await;
-        drop_lost_holders(&cx);
+        compio::time::sleep(SYNC_INTERVAL).await;
+        drop_dead_holders(&cx);
         let mut held: BTreeMap<SocketAddr, Vec<AttemptId>> =
-            last.into_keys().map(|owner| (owner, Vec::new())).collect();
+            previous.into_keys().map(|owner| (owner, Vec::new())).collect();
         held.extend(cx.held.borrow().by_owner());
         held.remove(&cx.settings.boxes_addr);
         for (owner, ids) in &held {
             let req = GrantSync { holder: cx.settings.name.clone(), ids: ids.clone() };
-            if let Err(err) = cx.boxes.call::<_, ()>(*owner, SYNC_PATH, &req, CALL_LIMIT).await {
-                log::debug!("grant sync: {err}");
+            if let Err(err) = cx.boxes.call::<_, ()>(*owner, SYNC_PATH, &req, CALL_TIMEOUT).await {
+                log::debug!("sync of held slots: {err}");
             }
         }
         held.retain(|_, ids| !ids.is_empty());
-        last = held;
+        previous = held;
     }
 }
 
-fn drop_lost_holders(cx: &EntryCx) {
+fn drop_dead_holders(cx: &EntryCx) {
     let membership = cx.membership.borrow();
     cx.grants.borrow_mut().retain_holders(|holder| {
         let record = membership.get(&Subject::Box(holder.to_owned()));
--- a/crates/hatchpitch/tests/hand_over.rs
+++ b/crates/hatchpitch/tests/hand_over.rs
@@ -1,4 +1,5 @@
-//! Slots whose engine gets another owner: the new one counts what runs there.
+//! Hand-over of slots when an engine changes owner: the new owner accounts for the runs that are
+//! already on the engine.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -25,7 +26,7 @@
     }
 }
 
-/// An owner of one engine with room for three prompts of 3,000 tokens.
+/// Creates the queue of an owner of one engine, whose memory fits three prompts of 3,000 tokens.
 fn line(now: Instant) -> Line {
     let routing = RoutingConfig { memory: MemoryPolicy::Watermark(1.0), ..Default::default() };
     let mut line = Line::new(AdmissionConfig::default(), routing);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_new_owner_that_is_told_what_runs_does_not_fill_a_full_engine() {
+fn new_owner_does_not_overcommit_an_engine_after_adopting_its_slots() {
     let now = Instant::now();
     let mut line = line(now);
     for id in ["a", "b", "c"] {
@@ -71,49 +72,50 @@
 }
 
 #[test]
-fn slots_are_handed_over_once_and_given_back_to_their_new_owner() {
+fn slots_are_handed_over_until_adopted_and_released_to_the_new_owner() {
     let now = Instant::now();
     let mut slots = HeldSlots::default();
-    slots.put("e1".to_owned(), held(2, "e1", now));
-    slots.put("e2".to_owned(), held(2, "e2", now));
-    slots.put("e3".to_owned(), held(1, "e3", now));
+    slots.insert("e1".to_owned(), held(2, "e1", now));
+    slots.insert("e2".to_owned(), held(2, "e2", now));
+    slots.insert("e3".to_owned(), held(1, "e3", now));
     let later = now + Duration::from_secs(3);
-    // The engine e1 went to box 3, e2 stayed, and e3 is gone.
+    // Box 3 is the new owner of e1, e2 keeps its owner, and e3 has none.
     let owner_of = |runner: &str| match runner {
         "e1" => Some(addr(3)),
         "e2" => Some(addr(2)),
         _ => None,
     };
-    let strays = slots.strays(addr(1), owner_of, later);
-    assert_eq!(strays.keys().copied().collect::<Vec<_>>(), [addr(3)]);
-    let moved = &strays[&addr(3)];
-    assert_eq!((moved.len(), moved[0].age), (1, Duration::from_secs(3)));
-    // It is told again until the new owner says that it counts the slot.
-    assert_eq!(slots.strays(addr(1), owner_of, later).len(), 1);
-    assert!(slots.adopted(addr(3), vec!["e1".to_owned()]).is_empty());
-    assert!(slots.strays(addr(1), owner_of, later).is_empty());
+    let reassigned = slots.reassigned(addr(1), owner_of, later);
+    assert_eq!(reassigned.keys().copied().collect::<Vec<_>>(), [addr(3)]);
+    let handed_over = &reassigned[&addr(3)];
+    assert_eq!((handed_over.len(), handed_over[0].age), (1, Duration::from_secs(3)));
+    // The slot is reported again until the new owner confirms that it has adopted it.
+    assert_eq!(slots.reassigned(addr(1), owner_of, later).len(), 1);
+    assert!(slots.mark_adopted(addr(3), vec!["e1".to_owned()]).is_empty());
+    assert!(slots.reassigned(addr(1), owner_of, later).is_empty());
     assert_eq!(slots.by_owner()[&addr(3)], ["e1".to_owned()]);
     assert_eq!(slots.remove("e1").unwrap().owner, addr(3));
 }
 
 #[test]
-fn a_box_that_owns_its_engine_again_does_not_count_its_own_slot_twice() {
+fn box_that_regains_an_engine_does_not_count_its_own_slot_twice() {
     let now = Instant::now();
     let mut slots = HeldSlots::default();
-    slots.put("e".to_owned(), held(1, "e", now));
-    assert_eq!(slots.strays(addr(1), |_| Some(addr(2)), now).len(), 1);
-    assert!(slots.adopted(addr(2), vec!["e".to_owned()]).is_empty());
-    assert!(slots.strays(addr(1), |_| Some(addr(1)), now).is_empty());
+    slots.insert("e".to_owned(), held(1, "e", now));
+    assert_eq!(slots.reassigned(addr(1), |_| Some(addr(2)), now).len(), 1);
+    assert!(slots.mark_adopted(addr(2), vec!["e".to_owned()]).is_empty());
+    assert!(slots.reassigned(addr(1), |_| Some(addr(1)), now).is_empty());
     assert_eq!(slots.remove("e").unwrap().owner, addr(1));
 }
 
 #[test]
-fn a_slot_that_was_given_back_while_it_was_handed_over_is_not_counted_for_ever() {
+fn slot_released_during_hand_over_is_released_at_the_new_owner() {
     let now = Instant::now();
     let mut slots = HeldSlots::default();
-    slots.put("e".to_owned(), held(2, "e", now));
-    assert_eq!(slots.strays(addr(1), |_| Some(addr(3)), now).len(), 1);
-    // The former owner is told of the end; the new one answers later that it counts the slot.
+    slots.insert("e".to_owned(), held(2, "e", now));
+    assert_eq!(slots.reassigned(addr(1), |_| Some(addr(3)), now).len(), 1);
+    // The release goes to the former owner before the new owner confirms the adoption, so the new
+    // owner has to be sent the release as well.
     assert_eq!(slots.remove("e").unwrap().owner, addr(2));
-    assert_eq!(slots.adopted(addr(3), vec!["e".to_owned()]), ["e".to_owned()]);
+    assert_eq!(slots.mark_adopted(addr(3), vec!["e".to_owned()]), ["e".to_owned()]);
 }
