--- a/crates/hatchpitch/src/limits/mod.rs
+++ b/crates/hatchpitch/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Budgets that keep retries from making an overload worse.
+//! Retry budgets, which keep retries from amplifying an overload.
 
 pub mod backoff;
 
@@ -6,13 +6,13 @@
 
 use crate::ids::{PoolName, WorkspaceName};
 
-/// Retries that a new request earns, in hundredths.
-const EARNED: u32 = 20;
-/// Cost of a retry, in hundredths.
-const COST: u32 = 100;
-/// Most that can be saved, in hundredths.
-const MAX_SAVED: u32 = 1_000;
-/// Budgets kept; beyond it full ones are forgotten.
+/// Credit that each new request adds, in hundredths of a retry.
+const CREDIT_PER_REQUEST: u32 = 20;
+/// Cost of a retry, in hundredths of a retry.
+const RETRY_COST: u32 = 100;
+/// Upper bound of a budget's balance, in hundredths of a retry.
+const MAX_BALANCE: u32 = 1_000;
+/// Number of budgets beyond which full ones are discarded; a new budget starts full as well.
 const MAX_BUDGETS: usize = 65_536;
 
 /// Retry budgets, one for each workspace and pool.
@@ -20,26 +20,26 @@
 pub struct RetryBudgets(HashMap<(WorkspaceName, PoolName), u32>);
 
 impl RetryBudgets {
-    /// Notes a new request, which earns a part of a retry.
+    /// Adds the credit of a new request.
     pub fn earn(&mut self, workspace: &str, pool: &str) {
         if self.0.len() >= MAX_BUDGETS {
-            self.0.retain(|_, saved| *saved < MAX_SAVED);
+            self.0.retain(|_, balance| *balance < MAX_BALANCE);
         }
-        let saved = self.entry(workspace, pool);
-        *saved = (*saved + EARNED).min(MAX_SAVED);
+        let balance = self.balance(workspace, pool);
+        *balance = (*balance + CREDIT_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Takes a retry; returns whether the budget allows it.
+    /// Deducts a retry if the balance allows it; returns whether it does.
     pub fn take(&mut self, workspace: &str, pool: &str) -> bool {
-        let saved = self.entry(workspace, pool);
-        let allowed = *saved >= COST;
+        let balance = self.balance(workspace, pool);
+        let allowed = *balance >= RETRY_COST;
         if allowed {
-            *saved -= COST;
+            *balance -= RETRY_COST;
         }
         allowed
     }
 
-    fn entry(&mut self, workspace: &str, pool: &str) -> &mut u32 {
-        self.0.entry((workspace.to_owned(), pool.to_owned())).or_insert(MAX_SAVED)
+    fn balance(&mut self, workspace: &str, pool: &str) -> &mut u32 {
+        self.0.entry((workspace.to_owned(), pool.to_owned())).or_insert(MAX_BALANCE)
     }
 }
