--- a/crates/hatchpitch/src/moves/messages.rs
+++ b/crates/hatchpitch/src/moves/messages.rs
@@ -1,34 +1,35 @@
-//! Messages between a box that carries a stream and the owner of the runner that it leaves.
+//! Messages between the box that relays a stream and the owner of the runner that the generation
+//! is moved off.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{AttemptId, RunnerName};
 
-/// Asks for the turn to move one generation off a runner; asked again until it comes.
+/// Requests the turn to move one generation off a runner. It is repeated until the turn is granted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TurnRequest {
-    /// The runner that leaves.
+    /// Runner that is shutting down.
     pub runner: RunnerName,
-    /// Names the move.
+    /// Id of the move.
     pub id: AttemptId,
-    /// Tokens that the generation may still make: who has more to lose goes first.
+    /// Tokens that the generation may still produce; the move with the most goes first.
     pub at_stake: u64,
 }
 
-/// The answer to a [`TurnRequest`].
+/// Answer to a [`TurnRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnAnswer {
-    /// The turn is the asker's until it says that it is done.
+    /// The turn is granted until the sender releases it or it expires.
     Yours,
-    /// Another move has it.
+    /// Another move has the turn.
     NotYet,
 }
 
-/// Gives a turn back.
+/// Releases a turn, or withdraws a request for one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TurnDone {
-    /// The runner that leaves.
+    /// Runner that is shutting down.
     pub runner: RunnerName,
-    /// The move.
+    /// Id of the move.
     pub id: AttemptId,
 }
--- a/crates/hatchpitch/src/moves/mod.rs
+++ b/crates/hatchpitch/src/moves/mod.rs
@@ -1,9 +1,10 @@
-//! Moves running generations off a runner that leaves, before it is gone.
+//! Moves running generations off a runner that is shutting down (live migration).
 //!
-//! A runner copies the memory of one generation at a time over its link. A
-//! stream is stopped only for the last, small part; were that to wait behind
-//! other copies, the stream would pause for all of them. So the runner's owner
-//! gives out turns: one generation is moved from its first copy to its last.
+//! A runner copies the memory (KV cache) of one generation at a time over its link. The first copy
+//! is made while the run continues; the stream is stopped only for the final copy, which is small.
+//! If the final copy had to queue behind copies of other generations, the stream would pause for
+//! all of them. The runner's owner therefore grants turns, so that one generation at a time is
+//! moved, from its first copy to its final one.
 
 pub mod messages;
 pub mod mover;
--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -1,4 +1,5 @@
-//! Moves one generation: a turn, a slot elsewhere, a first copy, the last part.
+//! Moves one generation to another runner: waits for the turn, obtains a slot, makes the first copy
+//! while the run continues, then stops the run and makes the final copy.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,64 +20,65 @@
 use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
 
-/// Time for one copy; a large generation takes a third of it on an idle link.
+/// Timeout of one copy. A large generation takes a third of it on an idle link.
 const COPY_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time until a run that has made nothing yet, or whose copy is under way, is asked for again.
-const AGAIN: Duration = Duration::from_millis(60);
-/// Longest wait for a slot elsewhere: the runner is gone soon after.
+/// Delay before the first copy is retried, because the runner does not know the run or a copy of it
+/// is in progress.
+const COPY_RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Longest wait for a slot on another runner: the source shuts down soon after.
 const SLOT_WAIT: Duration = Duration::from_millis(500);
-/// Tries of a first copy.
-const MAX_TRIES: usize = 6;
+/// Attempts to make the first copy.
+const MAX_COPY_ATTEMPTS: usize = 6;
 
-/// Where a generation goes on.
+/// Where a moved generation continues.
 pub struct Moved {
-    /// The slot there; `None` if it goes on where it was.
+    /// Slot on the other runner; `None` if the generation continues at the source.
     pub slot: Option<Box<Slot>>,
-    /// Where the source listens, and the name of the copy there.
+    /// Address of the source.
     pub source: SocketAddr,
-    /// Name of the copy at the source.
+    /// Handle of the copy at the source.
     pub handle: String,
 }
 
-/// How a move ended.
+/// Outcome of a move.
 pub enum MoveOutcome {
-    /// The run was stopped and goes on from a copy.
+    /// The run was stopped and can be resumed from a copy.
     Moved(Moved),
-    /// The run goes on at its runner.
+    /// The run was not stopped; it continues at the source unless it has ended. Holds the cause.
     Stays(String),
-    /// The run may have been stopped and no copy of it is known.
+    /// The run may have been stopped and no copy of it is known. Holds the cause.
     Lost(String),
 }
 
-/// The runner that a generation is moved off.
+/// The runner that a generation is moved off because it is shutting down.
 #[derive(Debug, Clone)]
 pub struct SourceRunner {
-    /// Its service.
+    /// Service of the runner.
     pub service: ServiceName,
-    /// Its life.
+    /// Name of the runner in its current life.
     pub runner: RunnerName,
-    /// Where it listens.
+    /// Address of the runner.
     pub addr: SocketAddr,
-    /// Where it stands; copies to runners near it take half the time.
+    /// Failure domain of the runner. Copies within it take half the time.
     pub failure_domain: FailureDomainName,
 }
 
-/// A move under way, as the stream sees it.
+/// Handle to a move in progress, held by the relay of the stream.
 pub struct Moving {
-    /// Resolves with the end of the move.
+    /// Resolves to the outcome of the move.
     pub outcome: oneshot::Receiver<MoveOutcome>,
     stopping: Rc<Cell<bool>>,
 }
 
 impl Moving {
-    /// Returns whether the runner was asked to stop the run, so that its stream may end
-    /// unfinished.
+    /// Returns whether the source has been told to stop the run, so that its stream may end before
+    /// the generation is complete.
     pub fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Returns the end of the move if it came to nothing; one that stopped the run is left to be
-    /// waited for, as the stream will close.
+    /// Returns whether the move failed without stopping the run. Returns false if the run
+    /// may have been stopped: its stream will close, and the outcome is awaited then.
     pub fn has_failed(&mut self) -> bool {
         if self.stopping.get() {
             return false;
@@ -85,11 +87,11 @@
     }
 }
 
-/// Begins to move a generation off a runner.
+/// Starts to move a generation off a runner.
 pub fn start(
     relay: &Rc<Relay>,
     req: &Rc<HostedRequest>,
-    leaver: SourceRunner,
+    source: SourceRunner,
     at_stake: u64,
     in_memory: u64,
 ) -> Moving {
@@ -98,7 +100,7 @@
     let mover = Mover {
         relay: relay.clone(),
         req: req.clone(),
-        leaver,
+        source,
         at_stake,
         in_memory,
         stopping: stopping.clone(),
@@ -106,10 +108,10 @@
     };
     compio::runtime::spawn(async move {
         let started = clock::now();
-        let ended = mover.run().await;
-        mover.log(&ended, started);
-        // The stream may have ended; its slot elsewhere is given back with the message.
-        let _ = tx.send(ended);
+        let outcome = mover.run().await;
+        mover.log(&outcome, started);
+        // If the stream has ended, the unsent outcome is dropped, which releases its slot.
+        let _ = tx.send(outcome);
     })
     .detach();
     Moving { outcome, stopping }
@@ -118,9 +120,10 @@
 struct Mover {
     relay: Rc<Relay>,
     req: Rc<HostedRequest>,
-    leaver: SourceRunner,
+    source: SourceRunner,
+    /// Tokens that the generation may still produce.
     at_stake: u64,
-    /// Tokens that the generation holds, for the room that it needs elsewhere.
+    /// Tokens of the generation in memory, which the other runner needs space for.
     in_memory: u64,
     stopping: Rc<Cell<bool>>,
     id: String,
@@ -130,32 +133,32 @@
     async fn run(&self) -> MoveOutcome {
         let turn = self.turn();
         if !turn.wait().await {
-            turn.give_back();
+            turn.release();
             return MoveOutcome::Stays("the turn did not come".to_owned());
         }
-        let ended = self.copy_and_stop().await;
-        turn.give_back();
-        ended
+        let outcome = self.copy_and_stop().await;
+        turn.release();
+        outcome
     }
 
     fn turn(&self) -> Turn {
-        let (cx, runner) = (self.relay.cx.clone(), self.leaver.runner.clone());
+        let (cx, runner) = (self.relay.cx.clone(), self.source.runner.clone());
         Turn::new(cx, runner, self.id.clone(), self.at_stake)
     }
 
     async fn copy_and_stop(&self) -> MoveOutcome {
-        let slot = match self.slot().await {
+        let slot = match self.obtain_slot().await {
             Ok(slot) => slot,
             Err(cause) => return MoveOutcome::Stays(cause),
         };
         if let Err(cause) = self.first_copy(slot.addr).await {
             return MoveOutcome::Stays(cause);
         }
-        if let Err(cause) = self.may_send().await {
+        if let Err(cause) = self.obtain_permit().await {
             return MoveOutcome::Stays(cause.to_owned());
         }
         self.stopping.set(true);
-        let source = self.leaver.addr;
+        let source = self.source.addr;
         match self.copy(slot.addr, true).await {
             Ok(CopyAnswer { handle }) => {
                 MoveOutcome::Moved(Moved { slot: Some(Box::new(slot)), source, handle })
@@ -172,32 +175,35 @@
 
     async fn first_copy(&self, to: SocketAddr) -> Result<(), String> {
         let mut last = String::new();
-        for _ in 0..MAX_TRIES {
-            self.may_send().await?;
+        for _ in 0..MAX_COPY_ATTEMPTS {
+            self.obtain_permit().await?;
             match self.copy(to, false).await {
                 Ok(_) => return Ok(()),
                 Err(err @ (CopyFailure::NoSuchRun | CopyFailure::Busy)) => last = err.to_string(),
                 Err(err) => return Err(err.to_string()),
             }
-            compio::time::sleep(AGAIN).await;
+            compio::time::sleep(COPY_RETRY_DELAY).await;
         }
         Err(last)
     }
 
-    /// Gets the permit for an order to the leaver, which is not held back while one can be taken in
-    /// advance: its runs are lost with it.
-    async fn may_send(&self) -> Result<(), &'static str> {
-        upstream_heads::obtain_in_advance(&self.relay.cx, &self.leaver.runner).await
+    /// Obtains the permit for an order to the source. The order does not wait for the rate limit as
+    /// long as a permit can be taken in advance, because the runs are lost when the source shuts
+    /// down.
+    async fn obtain_permit(&self) -> Result<(), &'static str> {
+        upstream_heads::obtain_in_advance(&self.relay.cx, &self.source.runner).await
     }
 
+    /// Orders the source to copy the run to another runner. With `stop`, this is the final copy, for
+    /// which the source stops the run.
     async fn copy(&self, to: SocketAddr, stop: bool) -> Result<CopyAnswer, CopyFailure> {
         let order = CopyOrder { request: self.req.id.clone(), to, stop };
-        let upstream = self.relay.cx.upstream(self.leaver.addr);
+        let upstream = self.relay.cx.upstream(self.source.addr);
         let copied = (self.relay.dialect.copy)(upstream, order);
         let sent = clock::now();
         match compio::time::timeout(COPY_LIMIT, copied).await {
             Ok(reply) => {
-                let (cx, runner) = (&self.relay.cx, &self.leaver.runner);
+                let (cx, runner) = (&self.relay.cx, &self.source.runner);
                 upstream_limits::note(cx, runner, reply.signals.limit, sent);
                 upstream_heads::note_aside(cx, runner, reply.signals);
                 reply.outcome
@@ -206,13 +212,14 @@
         }
     }
 
-    async fn slot(&self) -> Result<Slot, String> {
+    /// Obtains a slot on a runner that is not shutting down, preferably in the failure domain of the source.
+    async fn obtain_slot(&self) -> Result<Slot, String> {
         let cx = &self.relay.cx;
         let mut avoid: Vec<RunnerName> = {
             let roster = cx.upstreams.roster.borrow();
             roster.leaving().map(UpstreamRecord::life).collect()
         };
-        avoid.push(self.leaver.runner.clone());
+        avoid.push(self.source.runner.clone());
         let want = Want {
             id: new_id(),
             workspace: self.req.workspace.clone().unwrap_or_default(),
@@ -221,7 +228,7 @@
             prompt: self.in_memory,
             max_tokens: self.at_stake,
             avoid,
-            near: Some(self.leaver.failure_domain.clone()),
+            near: Some(self.source.failure_domain.clone()),
             copied: self.in_memory,
             max_wait: Some(SLOT_WAIT),
             accepts: Some(SLOT_WAIT),
@@ -231,12 +238,12 @@
             sends_here: true,
             only_try: true,
         };
-        let slot = obtain(cx, &self.leaver.service, want).await;
+        let slot = obtain(cx, &self.source.service, want).await;
         slot.map_err(|refusal| refusal.cause)
     }
 
-    fn log(&self, ended: &MoveOutcome, started: Instant) {
-        let (outcome, to, cause) = match ended {
+    fn log(&self, result: &MoveOutcome, started: Instant) {
+        let (outcome, to, cause) = match result {
             MoveOutcome::Moved(Moved { slot: Some(slot), .. }) => {
                 ("moved", slot.runner.as_str(), "")
             }
@@ -245,7 +252,7 @@
             MoveOutcome::Lost(cause) => ("lost", "", cause.as_str()),
         };
         log::info!(
-            request = self.req.id.as_str(), upstream = self.leaver.runner.as_str(), to = to,
+            request = self.req.id.as_str(), upstream = self.source.runner.as_str(), to = to,
             outcome = outcome, cause = cause, at_stake = self.at_stake,
             in_memory = self.in_memory, took_ms = clock::since(started).as_millis(),
             roster = self.relay.cx.upstreams.roster.borrow().version();
--- a/crates/hatchpitch/src/moves/state.rs
+++ b/crates/hatchpitch/src/moves/state.rs
@@ -1,14 +1,14 @@
-//! Whose turn it is at each runner that leaves, without I/O.
+//! The queues of moves at the runners that are shutting down, without I/O.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::ids::{AttemptId, RunnerName};
 
-/// Time after which a turn ends by itself: a few times what one move takes.
-const TURN_LIMIT: Duration = Duration::from_millis(900);
-/// Time for which a runner that nobody asks about is remembered.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Time after which a turn expires if it is not released: a few times the duration of a move.
+const TURN_EXPIRY: Duration = Duration::from_millis(900);
+/// Time without requests after which the queue of a runner is discarded.
+const IDLE_QUEUE_EXPIRY: Duration = Duration::from_secs(30);
 
 /// A move that waits for its turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -17,29 +17,32 @@
     pub(super) at_stake: u64,
 }
 
+/// The moves at one runner.
 #[derive(Debug, Clone)]
 pub(super) struct Queue {
+    /// The move that has the turn, and the time at which it got it.
     pub(super) current: Option<(AttemptId, Instant)>,
     pub(super) waiting: Vec<Waiter>,
-    asked: Instant,
+    last_request: Instant,
 }
 
-/// The turns at all runners that this box decides for.
+/// The turns at all runners that this box owns.
 #[derive(Debug, Clone, Default)]
 pub struct Turns {
     pub(super) queues: BTreeMap<RunnerName, Queue>,
 }
 
 impl Turns {
-    /// Asks for a turn; returns whether it is the asker's now.
-    pub fn ask(&mut self, runner: &str, id: &str, at_stake: u64, now: Instant) -> bool {
-        self.queues.retain(|_, queue| now.duration_since(queue.asked) < FORGET_AFTER);
+    /// Requests a turn for the move `id`, or polls an earlier request. Returns whether the move has
+    /// the turn now.
+    pub fn request(&mut self, runner: &str, id: &str, at_stake: u64, now: Instant) -> bool {
+        self.queues.retain(|_, queue| now.duration_since(queue.last_request) < IDLE_QUEUE_EXPIRY);
         let queue = self.queues.entry(runner.to_owned()).or_insert_with(|| Queue {
             current: None,
             waiting: Vec::new(),
-            asked: now,
+            last_request: now,
         });
-        queue.asked = now;
+        queue.last_request = now;
         let known = queue.current.as_ref().is_some_and(|(current, _)| current == id)
             || queue.waiting.iter().any(|waiter| waiter.id == id);
         if !known {
@@ -49,8 +52,8 @@
         queue.current.as_ref().is_some_and(|(current, _)| current == id)
     }
 
-    /// Gives a turn back, or stops waiting for one.
-    pub fn done(&mut self, runner: &str, id: &str, now: Instant) {
+    /// Releases the turn of the move `id`, or removes it from the queue.
+    pub fn release(&mut self, runner: &str, id: &str, now: Instant) {
         let Some(queue) = self.queues.get_mut(runner) else { return };
         if queue.current.as_ref().is_some_and(|(current, _)| current == id) {
             queue.current = None;
@@ -61,14 +64,14 @@
 }
 
 impl Queue {
-    /// Gives the turn to the move with most at stake once nobody holds it.
+    /// Grants the turn to the waiting move with the most at stake if no move has an unexpired turn.
     fn advance(&mut self, now: Instant) {
-        let held = self.current.as_ref();
-        if held.is_some_and(|(_, since)| now.duration_since(*since) < TURN_LIMIT) {
+        let current = self.current.as_ref();
+        if current.is_some_and(|(_, since)| now.duration_since(*since) < TURN_EXPIRY) {
             return;
         }
         let next = self.waiting.iter().enumerate().max_by_key(|(at, waiter)| {
-            // Among equals the first to ask.
+            // Ties go to the earliest request.
             (waiter.at_stake, std::cmp::Reverse(*at))
         });
         let next = next.map(|(at, _)| at);
--- a/crates/hatchpitch/src/moves/task.rs
+++ b/crates/hatchpitch/src/moves/task.rs
@@ -1,4 +1,5 @@
-//! Asks a runner's owner for the turn to move a generation off it, and answers such questions.
+//! I/O of turns: requests the turn to move a generation off a runner from the runner's owner, and
+//! answers such requests.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,33 +12,34 @@
 use crate::entry::EntryCx;
 use crate::ids::RunnerName;
 
-/// Path on which turns are asked for.
+/// Path of turn requests.
 pub const TURN_PATH: &str = "/box/move-turn";
-/// Path on which turns are given back.
+/// Path on which turns are released.
 pub const TURN_DONE_PATH: &str = "/box/move-done";
-/// Time for a call about a turn.
-const TURN_CALL_LIMIT: Duration = Duration::from_millis(300);
-/// Time between two questions whether the turn has come: a tenth of what one move takes.
-const TURN_LOOK: Duration = Duration::from_millis(20);
-/// Time after which a move that got no turn is given up: the runner is gone by then.
-const TURN_PATIENCE: Duration = Duration::from_secs(6);
-/// Calls without an answer after which the owner is passed over: together under a second.
+/// Timeout of a call about a turn.
+const TURN_CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval at which a waiting move polls for its turn: a tenth of the duration of a move.
+const TURN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after which a move that has not got its turn is abandoned: the runner has shut down by then.
+const TURN_WAIT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Failed calls after which a move goes ahead without its owner's consent; together they take less
+/// than a second.
 const MAX_FAILURES: u32 = 3;
 
-/// One generation's turn at a runner.
+/// Client side of the turn of one move at a runner.
 pub struct Turn {
     cx: Rc<EntryCx>,
-    /// The box that gives out the turns at the runner.
+    /// Address of the box that owns the runner and grants its turns.
     owner: SocketAddr,
     runner: RunnerName,
-    /// Name of the move, by which the owner knows a question asked again.
+    /// Id of the move, by which the owner recognizes repeated requests.
     id: String,
-    /// Tokens still to come; the move with most of them goes first.
+    /// Tokens that the generation may still produce; the move with the most goes first.
     at_stake: u64,
 }
 
 impl Turn {
-    /// Prepares to ask for a turn.
+    /// Creates a request for a turn, without sending it.
     pub fn new(cx: Rc<EntryCx>, runner: RunnerName, id: String, at_stake: u64) -> Self {
         let owner = {
             let membership = cx.membership.borrow();
@@ -47,22 +49,24 @@
         Self { cx, owner, runner, id, at_stake }
     }
 
-    /// Waits for the turn. An owner that does not answer is passed over after some tries.
+    /// Polls the owner until the move has its turn. Returns whether the move may proceed, which it
+    /// also may after [`MAX_FAILURES`] calls to the owner have failed.
     pub async fn wait(&self) -> bool {
         let started = clock::now();
         let mut failures = 0;
-        while clock::since(started) < TURN_PATIENCE && failures < MAX_FAILURES {
-            match self.ask().await {
+        while clock::since(started) < TURN_WAIT_TIMEOUT && failures < MAX_FAILURES {
+            match self.request().await {
                 Some(TurnAnswer::Yours) => return true,
-                Some(TurnAnswer::NotYet) => compio::time::sleep(TURN_LOOK).await,
+                Some(TurnAnswer::NotYet) => compio::time::sleep(TURN_POLL_INTERVAL).await,
                 None => failures += 1,
             }
         }
-        // Without its owner, moves of this runner may stand in each other's way, and still help.
+        // Without turns, the moves of this runner compete for its link, but they still save
+        // generations.
         failures > 0
     }
 
-    async fn ask(&self) -> Option<TurnAnswer> {
+    async fn request(&self) -> Option<TurnAnswer> {
         let cx = &self.cx;
         let req = TurnRequest {
             runner: self.runner.clone(),
@@ -72,17 +76,17 @@
         if self.owner == cx.settings.boxes_addr {
             return Some(answer_turn(cx, &req));
         }
-        match cx.boxes.call(self.owner, TURN_PATH, &req, TURN_CALL_LIMIT).await {
+        match cx.boxes.call(self.owner, TURN_PATH, &req, TURN_CALL_TIMEOUT).await {
             Ok(answer) => Some(answer),
             Err(err) => {
-                log::debug!("turn to move: {err}");
+                log::debug!("request for a move turn: {err}");
                 None
             }
         }
     }
 
-    /// Gives the turn back, or leaves the queue for it.
-    pub fn give_back(&self) {
+    /// Releases the turn, or leaves the queue for it, without waiting for the answer.
+    pub fn release(&self) {
         let (cx, owner) = (self.cx.clone(), self.owner);
         let done = TurnDone { runner: self.runner.clone(), id: self.id.clone() };
         if owner == cx.settings.boxes_addr {
@@ -90,25 +94,25 @@
             return;
         }
         compio::runtime::spawn(async move {
-            let call = cx.boxes.call::<_, ()>(owner, TURN_DONE_PATH, &done, TURN_CALL_LIMIT);
+            let call = cx.boxes.call::<_, ()>(owner, TURN_DONE_PATH, &done, TURN_CALL_TIMEOUT);
             if let Err(err) = call.await {
-                log::debug!("turn to move not given back, it ends by itself: {err}");
+                log::debug!("release of a move turn: {err}; the turn will expire");
             }
         })
         .detach();
     }
 }
 
-/// Answers a box that asks for a turn at a runner.
+/// Answers a turn request.
 pub fn answer_turn(cx: &EntryCx, req: &TurnRequest) -> TurnAnswer {
     let mut turns = cx.turns.borrow_mut();
-    match turns.ask(&req.runner, &req.id, req.at_stake, clock::now()) {
+    match turns.request(&req.runner, &req.id, req.at_stake, clock::now()) {
         true => TurnAnswer::Yours,
         false => TurnAnswer::NotYet,
     }
 }
 
-/// Takes a turn back.
+/// Handles the release of a turn.
 pub fn answer_turn_done(cx: &EntryCx, done: &TurnDone) {
-    cx.turns.borrow_mut().done(&done.runner, &done.id, clock::now());
+    cx.turns.borrow_mut().release(&done.runner, &done.id, clock::now());
 }
--- a/crates/hatchpitch/tests/moves.rs
+++ b/crates/hatchpitch/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Turns to move generations off a runner that leaves.
+//! Turns to move generations off a runner that is shutting down.
 
 use std::time::{Duration, Instant};
 
@@ -6,48 +6,51 @@
 use hatchpitch::moves::verify::verify;
 
 #[test]
-fn one_generation_is_moved_at_a_time_and_who_has_most_at_stake_goes_next() {
+fn one_generation_is_moved_at_a_time_most_tokens_at_stake_first() {
     let now = Instant::now();
     let mut turns = Turns::default();
-    assert!(turns.ask("r", "first", 10, now));
-    assert!(!turns.ask("r", "small", 20, now));
-    assert!(!turns.ask("r", "large", 900, now));
-    assert!(turns.ask("other", "elsewhere", 1, now), "runners do not wait for each other");
-    turns.done("r", "first", now);
-    assert!(!turns.ask("r", "small", 20, now));
-    assert!(turns.ask("r", "large", 900, now));
-    turns.done("r", "large", now);
-    assert!(turns.ask("r", "small", 20, now));
+    assert!(turns.request("r", "first", 10, now));
+    assert!(!turns.request("r", "small", 20, now));
+    assert!(!turns.request("r", "large", 900, now));
+    assert!(turns.request("other", "elsewhere", 1, now), "the queues of runners are independent");
+    turns.release("r", "first", now);
+    assert!(!turns.request("r", "small", 20, now));
+    assert!(turns.request("r", "large", 900, now));
+    turns.release("r", "large", now);
+    assert!(turns.request("r", "small", 20, now));
     verify(&turns).unwrap();
 }
 
 #[test]
-fn a_turn_that_is_not_given_back_ends_by_itself() {
+fn turn_expires_if_it_is_not_released() {
     let now = Instant::now();
     let mut turns = Turns::default();
-    assert!(turns.ask("r", "lost", 10, now));
-    assert!(!turns.ask("r", "next", 10, now + Duration::from_millis(500)));
-    assert!(turns.ask("r", "next", 10, now + Duration::from_secs(1)));
-    turns.done("r", "lost", now + Duration::from_secs(1));
-    assert!(turns.ask("r", "next", 10, now + Duration::from_secs(1)), "its turn goes on");
+    assert!(turns.request("r", "lost", 10, now));
+    assert!(!turns.request("r", "next", 10, now + Duration::from_millis(500)));
+    assert!(turns.request("r", "next", 10, now + Duration::from_secs(1)));
+    turns.release("r", "lost", now + Duration::from_secs(1));
+    assert!(
+        turns.request("r", "next", 10, now + Duration::from_secs(1)),
+        "a late release of an expired turn does not end the next one"
+    );
     verify(&turns).unwrap();
 }
 
 #[test]
-fn who_stops_waiting_is_passed_over() {
+fn withdrawn_request_gets_no_turn() {
     let now = Instant::now();
     let mut turns = Turns::default();
-    assert!(turns.ask("r", "a", 1, now));
-    assert!(!turns.ask("r", "b", 9, now));
-    assert!(!turns.ask("r", "c", 5, now));
-    turns.done("r", "b", now);
-    turns.done("r", "a", now);
-    assert!(turns.ask("r", "c", 5, now));
+    assert!(turns.request("r", "a", 1, now));
+    assert!(!turns.request("r", "b", 9, now));
+    assert!(!turns.request("r", "c", 5, now));
+    turns.release("r", "b", now);
+    turns.release("r", "a", now);
+    assert!(turns.request("r", "c", 5, now));
     verify(&turns).unwrap();
 }
 
 #[test]
-fn turns_stay_sound_whatever_is_asked() {
+fn turns_keep_their_invariants_under_random_operations() {
     for seed in 0..50_u64 {
         arbtest::arbtest(|u| {
             let start = Instant::now();
@@ -57,9 +60,9 @@
                 let runner = format!("r{}", u.int_in_range(0..=1_u8)?);
                 let id = format!("m{}", u.int_in_range(0..=4_u8)?);
                 if u.arbitrary()? {
-                    turns.ask(&runner, &id, u.int_in_range(0..=3_u64)?, now);
+                    turns.request(&runner, &id, u.int_in_range(0..=3_u64)?, now);
                 } else {
-                    turns.done(&runner, &id, now);
+                    turns.release(&runner, &id, now);
                 }
                 verify(&turns).unwrap();
             }
