--- a/crates/hatchpitch/tests/overload/engine.rs
+++ b/crates/hatchpitch/tests/overload/engine.rs
@@ -1,25 +1,30 @@
-//! An engine as far as placement notices it: prompts read one after another, tokens made in
-//! steps that grow with the batch, and a memory that pushes the youngest generation out.
+//! Model of an engine, limited to what affects placement: prompts are prefilled one after another,
+//! tokens are decoded in steps that take longer with a larger batch, and the last running generation
+//! is preempted when the KV memory is full.
 
-/// Prompt tokens read in a millisecond while no token is made.
-const READ_PER_MS: f64 = 14.0;
-/// Part of an engine's time that goes to prompts while some wait to be read.
-const READING: f64 = 0.6;
-/// Milliseconds of a step, and what each generation of the batch adds.
+/// Prompt tokens prefilled per millisecond while nothing is decoded.
+const PREFILL_PER_MS: f64 = 14.0;
+/// Share of an engine's time spent on prefill while prompts are pending.
+const PREFILL_SHARE: f64 = 0.6;
+/// Base duration of a decode step, and the increment per generation in the batch, in milliseconds.
 const STEP_MS: (f64, f64) = (7.0, 0.12);
-/// Generations that run at once.
-const BATCH: usize = 24;
+/// Largest number of generations that run concurrently.
+const MAX_BATCH: usize = 24;
 
-/// A generation at an engine.
+/// A generation on an engine.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The request, by its number.
+    /// Index of the request in the load.
     pub request: usize,
+    /// Length of the prompt, in tokens.
     pub prompt: f64,
+    /// Length of the output, in tokens.
     pub output: f64,
-    read: f64,
-    made: f64,
-    /// Whether it is in the batch.
+    /// Prompt tokens prefilled so far.
+    prefilled: f64,
+    /// Output tokens decoded so far.
+    decoded: f64,
+    /// Whether the generation is in the batch.
     runs: bool,
 }
 
@@ -29,35 +34,39 @@
             request,
             prompt: prompt as f64,
             output: output as f64,
-            read: 0.0,
-            made: 0.0,
+            prefilled: 0.0,
+            decoded: 0.0,
             runs: false,
         }
     }
 
-    fn is_read(&self) -> bool {
-        self.read >= self.prompt
+    fn is_prefilled(&self) -> bool {
+        self.prefilled >= self.prompt
     }
 }
 
-/// What an engine did in a tick.
+/// Events of one tick of an engine.
 #[derive(Debug, Default)]
-pub struct Done {
-    /// Requests whose first token was made.
-    pub begun: Vec<usize>,
-    /// Requests that are whole, with the length of the output.
-    pub ended: Vec<(usize, u64)>,
-    /// Requests whose stream paused, because they were pushed out of the memory.
+pub struct TickReport {
+    /// Requests whose first token was produced.
+    pub first_tokens: Vec<usize>,
+    /// Requests that completed, with the number of output tokens.
+    pub completed: Vec<(usize, u64)>,
+    /// Requests that were preempted after their first token, which pauses their stream.
     pub paused: Vec<usize>,
 }
 
 #[derive(Debug, Clone)]
 pub struct Engine {
+    /// Index of the failure domain.
     pub domain: usize,
-    /// Its pace against that of others.
+    /// Speed relative to a standard engine.
     pub speed: f64,
+    /// KV memory, in tokens.
     pub memory: f64,
+    /// Generations in the order of arrival; preempted ones move to the end.
     pub jobs: Vec<Job>,
+    /// Number of preemptions so far.
     pub preempted: usize,
 }
 
@@ -66,62 +75,63 @@
         Self { domain, speed, memory, jobs: Vec::new(), preempted: 0 }
     }
 
-    /// Works for `ms`.
-    pub fn work(&mut self, ms: f64) -> Done {
-        self.let_in();
-        let mut done = Done::default();
+    /// Simulates `ms` milliseconds of work.
+    pub fn tick(&mut self, ms: f64) -> TickReport {
+        self.admit();
+        let mut report = TickReport::default();
         let ms = ms * self.speed;
-        let reading = self.jobs.iter().any(|job| job.runs && !job.is_read());
-        let (read_ms, made_ms) =
-            if reading { (ms * READING, ms * (1.0 - READING)) } else { (0.0, ms) };
-        let batch = self.jobs.iter().filter(|job| job.runs && job.is_read()).count();
+        let prefilling = self.jobs.iter().any(|job| job.runs && !job.is_prefilled());
+        let (prefill_ms, decode_ms) =
+            if prefilling { (ms * PREFILL_SHARE, ms * (1.0 - PREFILL_SHARE)) } else { (0.0, ms) };
+        let batch = self.jobs.iter().filter(|job| job.runs && job.is_prefilled()).count();
         let step = STEP_MS.0 + STEP_MS.1 * batch as f64;
-        let mut left = read_ms * READ_PER_MS;
+        let mut left = prefill_ms * PREFILL_PER_MS;
         for job in self.jobs.iter_mut().filter(|job| job.runs) {
-            if !job.is_read() {
-                let read = left.min(job.prompt - job.read);
-                job.read += read;
-                left -= read;
+            if !job.is_prefilled() {
+                let prefilled = left.min(job.prompt - job.prefilled);
+                job.prefilled += prefilled;
+                left -= prefilled;
                 continue;
             }
-            let before = job.made;
-            job.made += made_ms / step;
-            if before < 1.0 && job.made >= 1.0 {
-                done.begun.push(job.request);
+            let before = job.decoded;
+            job.decoded += decode_ms / step;
+            if before < 1.0 && job.decoded >= 1.0 {
+                report.first_tokens.push(job.request);
             }
         }
-        let whole = |job: &&Job| job.made >= job.output;
-        let ended = self.jobs.iter().filter(whole);
-        done.ended = ended.map(|job| (job.request, job.output as u64)).collect();
-        self.jobs.retain(|job| !whole(&job));
-        self.push_out(&mut done);
-        done
+        let is_complete = |job: &&Job| job.decoded >= job.output;
+        let completed = self.jobs.iter().filter(is_complete);
+        report.completed = completed.map(|job| (job.request, job.output as u64)).collect();
+        self.jobs.retain(|job| !is_complete(&job));
+        self.preempt(&mut report);
+        report
     }
 
     fn used(&self) -> f64 {
-        self.jobs.iter().filter(|job| job.runs).map(|job| job.prompt + job.made).sum()
+        self.jobs.iter().filter(|job| job.runs).map(|job| job.prompt + job.decoded).sum()
     }
 
-    /// Lets in those that wait, in their order, while the batch and the memory have room.
-    fn let_in(&mut self) {
+    /// Admits waiting generations in order while the batch and the memory have space.
+    fn admit(&mut self) {
         while let Some(at) = self.jobs.iter().position(|job| !job.runs) {
             let running = self.jobs.iter().filter(|job| job.runs).count();
-            if running == BATCH || self.used() + self.jobs[at].prompt > self.memory {
+            if running == MAX_BATCH || self.used() + self.jobs[at].prompt > self.memory {
                 return;
             }
             self.jobs[at].runs = true;
         }
     }
 
-    /// Pushes the youngest generation out of a full memory; it waits and is read anew.
-    fn push_out(&mut self, done: &mut Done) {
+    /// Preempts the last running generation in `jobs` while the memory is over its limit. A preempted
+    /// generation queues again and its prompt is prefilled anew.
+    fn preempt(&mut self, report: &mut TickReport) {
         while self.used() > self.memory {
             let Some(at) = self.jobs.iter().rposition(|job| job.runs) else { return };
             let mut job = self.jobs.remove(at);
-            if job.made >= 1.0 {
-                done.paused.push(job.request);
+            if job.decoded >= 1.0 {
+                report.paused.push(job.request);
             }
-            (job.runs, job.read) = (false, 0.0);
+            (job.runs, job.prefilled) = (false, 0.0);
             self.preempted += 1;
             self.jobs.push(job);
         }
--- a/crates/hatchpitch/tests/overload/fleet.rs
+++ b/crates/hatchpitch/tests/overload/fleet.rs
@@ -1,5 +1,5 @@
-//! Replays a load against the decisions of `dispatch`, without sockets: owners with their lines,
-//! engines, and requests whose questions to owners take time.
+//! Simulates a fleet that serves a load under the decisions of `dispatch`, without sockets: owners
+//! with their queues, engines, and requests whose calls to owners take time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,81 +16,99 @@
 
 use crate::engine::{Engine, Job};
 
-/// Time between two looks of the replay.
+/// Time step of the simulation.
 const TICK_MS: u64 = 2;
-/// Time from a quote to the request for a slot: two calls between boxes and their handling.
+/// Time from a quote to the slot request that follows it: two calls between boxes, including their
+/// handling.
 const CALL_MS: u64 = 6;
 
-/// Who decides where a request runs.
+/// Assignment of engines to owners, which decide where a request runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// What the product does.
-    Shards,
-    /// Each engine has an owner of its own, and four of them are asked, near ones first.
-    OneEach,
+    /// The assignment by shards that the product uses.
+    Sharded,
+    /// Baseline: each engine has its own owner, and a request asks four of them, those in its failure
+    /// domain first.
+    OwnerPerEngine,
 }
 
 /// One request of a load.
 #[derive(Debug, Clone)]
 pub struct Request {
+    /// Time of arrival.
     pub at_ms: u64,
+    /// Index of the failure domain of the box that receives the request.
     pub domain: usize,
     pub workspace: usize,
     pub priority: u8,
+    /// Length of the prompt, in tokens.
     pub prompt: u64,
+    /// Length of the output, in tokens.
     pub output: u64,
-    /// Time to the first token that its caller expects.
-    pub aim_ms: u64,
+    /// Target time to the first token.
+    pub target_ms: u64,
 }
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Debug, Clone, Default)]
-pub struct Fate {
+pub struct RequestResult {
+    /// Time from arrival to the first token.
     pub first_ms: Option<u64>,
-    pub whole: bool,
-    /// Whether its stream paused.
+    /// Whether the output was complete.
+    pub completed: bool,
+    /// Whether the stream paused because the generation was preempted.
     pub paused: bool,
-    /// How long it was held before it was refused.
+    /// Time from arrival to the refusal.
     pub refused_after_ms: Option<u64>,
 }
 
-/// What happens to engines and owners in a replay.
+/// Change of an engine's availability during a simulation.
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
-    /// An engine takes no new work any more, and finishes what it has.
-    Leaves { engine: usize },
-    /// An engine is back, empty.
-    Returns { engine: usize },
+    /// The engine accepts no new work and finishes its current runs.
+    Drains { engine: usize },
+    /// The engine accepts new work again.
+    Resumes { engine: usize },
 }
 
-struct Asking {
+/// A request that searches for a slot.
+struct Searching {
     request: usize,
     search: Search,
+    /// Time at which `step` is performed.
     at_ms: u64,
     step: Step,
 }
 
+/// A request in the queue of an owner.
 struct Waiting {
     request: usize,
+    /// Time at which the request stops waiting.
     until_ms: u64,
 }
 
-/// A run at an engine.
+/// A run on an engine.
 struct Run {
     owner: usize,
     want: Want,
+    /// Cost that the owner's queue charged for the run.
     cost: u64,
-    since_ms: u64,
+    started_ms: u64,
     first_ms: Option<u64>,
 }
 
+/// The simulated fleet.
 pub struct Fleet {
     pub engines: Vec<Engine>,
+    /// Owner of each engine.
     owner_of: Vec<usize>,
+    /// Queue of each owner.
     lines: Vec<Line>,
     policy: Policy,
+    /// Number of failure domains.
     domains: usize,
-    away: BTreeSet<usize>,
+    /// Engines that accept no new work.
+    draining: BTreeSet<usize>,
     start: Instant,
     rng: StdRng,
 }
@@ -106,7 +124,8 @@
 }
 
 impl Fleet {
-    /// Makes `engines` engines over `domains` failure domains, each with its pace.
+    /// Creates `engines` engines, distributed over `domains` failure domains, with speeds taken from
+    /// `speeds` in turn.
     pub fn new(
         policy: Policy,
         domains: usize,
@@ -114,25 +133,25 @@
         speeds: &[f64],
         memory: u64,
     ) -> Self {
-        let made: Vec<Engine> = (0..engines)
+        let created: Vec<Engine> = (0..engines)
             .map(|i| Engine::new(i % domains, speeds[i % speeds.len()], memory as f64))
             .collect();
         let owner_of: Vec<usize> = match policy {
-            Policy::OneEach => (0..engines).collect(),
-            Policy::Shards => {
-                let in_domain = |domain| made.iter().filter(|e| e.domain == domain).count();
-                let shard = |i: usize| shard_of(&name(i), shards(in_domain(made[i].domain)));
-                (0..engines).map(|i| shard(i) * domains + made[i].domain).collect()
+            Policy::OwnerPerEngine => (0..engines).collect(),
+            Policy::Sharded => {
+                let in_domain = |domain| created.iter().filter(|e| e.domain == domain).count();
+                let shard = |i: usize| shard_of(&name(i), shards(in_domain(created[i].domain)));
+                (0..engines).map(|i| shard(i) * domains + created[i].domain).collect()
             }
         };
         let owners = owner_of.iter().max().map_or(0, |last| last + 1);
         let mut fleet = Self {
-            engines: made,
+            engines: created,
             owner_of,
             lines: Vec::new(),
             policy,
             domains,
-            away: BTreeSet::new(),
+            draining: BTreeSet::new(),
             start: Instant::now(),
             rng: StdRng::seed_from_u64(7),
         };
@@ -143,76 +162,96 @@
         fleet
     }
 
-    /// Plays a load and what happens meanwhile.
-    pub fn play(&mut self, load: &[Request], events: &[(u64, Event)], end_ms: u64) -> Vec<Fate> {
-        let mut fates = vec![Fate::default(); load.len()];
-        let mut asking: VecDeque<Asking> = VecDeque::new();
+    /// Simulates a load with the given events until `end_ms`. Returns the result of each request.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the queue of an owner violates an invariant at the end.
+    pub fn simulate(
+        &mut self,
+        load: &[Request],
+        events: &[(u64, Event)],
+        end_ms: u64,
+    ) -> Vec<RequestResult> {
+        let mut results = vec![RequestResult::default(); load.len()];
+        let mut searching: VecDeque<Searching> = VecDeque::new();
         let mut waiting: BTreeMap<(usize, u64), Waiting> = BTreeMap::new();
         let mut running: HashMap<usize, Run> = HashMap::new();
         let (mut next, mut event) = (0, 0);
         for ms in (0..end_ms).step_by(TICK_MS as usize) {
             while events.get(event).is_some_and(|(at, _)| *at <= ms) {
-                self.happen(events[event].1, ms);
+                self.apply(events[event].1, ms);
                 event += 1;
             }
             while load.get(next).is_some_and(|req| req.at_ms <= ms) {
                 let mut search = self.search(&load[next]);
                 let step = search.step();
-                asking.push_back(Asking { request: next, search, at_ms: ms, step });
+                searching.push_back(Searching { request: next, search, at_ms: ms, step });
                 next += 1;
             }
-            for _ in 0..asking.len() {
-                let Some(ask) = asking.pop_front() else { break };
-                if ms < ask.at_ms {
-                    asking.push_back(ask);
+            for _ in 0..searching.len() {
+                let Some(current) = searching.pop_front() else { break };
+                if ms < current.at_ms {
+                    searching.push_back(current);
                     continue;
                 }
-                self.carry_out(ask, load, ms, &mut fates, &mut asking, &mut waiting, &mut running);
+                self.perform_step(
+                    current,
+                    load,
+                    ms,
+                    &mut results,
+                    &mut searching,
+                    &mut waiting,
+                    &mut running,
+                );
             }
             if ms % 20 == 0 {
                 let now = self.at(ms);
                 self.lines.iter_mut().for_each(|line| line.tick(now));
             }
-            self.work(load, ms, &mut fates, &mut running);
-            self.answers(load, ms, &mut waiting, &mut running, &mut fates);
-            self.give_up(load, ms, &mut waiting, &mut fates);
+            self.tick_engines(load, ms, &mut results, &mut running);
+            self.collect_answers(load, ms, &mut waiting, &mut running, &mut results);
+            self.time_out(load, ms, &mut waiting, &mut results);
         }
         for line in &self.lines {
             verify::verify(line).unwrap();
         }
-        fates
+        results
     }
 
-    #[allow(clippy::too_many_arguments, reason = "the state of a replay")]
-    fn carry_out(
+    /// Performs the next step of a request's search.
+    #[allow(clippy::too_many_arguments, reason = "the state of a simulation")]
+    fn perform_step(
         &mut self,
-        mut ask: Asking,
+        mut current: Searching,
         load: &[Request],
         ms: u64,
-        fates: &mut [Fate],
-        asking: &mut VecDeque<Asking>,
+        results: &mut [RequestResult],
+        searching: &mut VecDeque<Searching>,
         waiting: &mut BTreeMap<(usize, u64), Waiting>,
         running: &mut HashMap<usize, Run>,
     ) {
-        let (now, req) = (self.at(ms), &load[ask.request]);
-        let want = want(ask.request, req);
+        let (now, req) = (self.at(ms), &load[current.request]);
+        let want = want(current.request, req);
         let mut call_ms = 0;
-        match ask.step.clone() {
+        match current.step.clone() {
             Step::Quote(owners) => {
                 let quotes: Vec<(SocketAddr, Quote)> = owners
                     .into_iter()
                     .filter_map(|a| Some((a, self.lines[owner_at(a)].quote(&want, now).ok()?)))
                     .collect();
-                ask.search.heard_quotes(quotes);
+                current.search.heard_quotes(quotes);
                 call_ms = CALL_MS;
             }
             Step::Take(a) => {
                 let owner = owner_at(a);
                 match self.lines[owner].place(&want, now) {
-                    Ok(Some(spec)) => return self.run(ask.request, req, owner, &spec, ms, running),
+                    Ok(Some(spec)) => {
+                        return self.start_run(current.request, req, owner, &spec, ms, running);
+                    }
                     Ok(None) => {
                         let wait = self.lines[owner].expected_wait(&want, now);
-                        ask.search.heard_busy(a, wait);
+                        current.search.heard_busy(a, wait);
                     }
                     Err(_) => {}
                 }
@@ -222,28 +261,29 @@
                 let owner = owner_at(a);
                 match self.lines[owner].decide(&want, now) {
                     Decision::Run(spec) => {
-                        return self.run(ask.request, req, owner, &spec, ms, running);
+                        return self.start_run(current.request, req, owner, &spec, ms, running);
                     }
                     Decision::Wait(ticket) => {
-                        let until_ms = ms + req.aim_ms * 2;
-                        let entry = Waiting { request: ask.request, until_ms };
+                        let until_ms = ms + req.target_ms * 2;
+                        let entry = Waiting { request: current.request, until_ms };
                         waiting.insert((owner, ticket), entry);
                         return;
                     }
-                    Decision::Refuse(refusal) => ask.search.heard_refusal(refusal),
+                    Decision::Refuse(refusal) => current.search.heard_refusal(refusal),
                 }
             }
             Step::Refuse(_) | Step::Alone => {
-                fates[ask.request].refused_after_ms = Some(ms - req.at_ms);
+                results[current.request].refused_after_ms = Some(ms - req.at_ms);
                 return;
             }
         }
-        ask.step = ask.search.step();
-        ask.at_ms = ms + call_ms;
-        asking.push_back(ask);
+        current.step = current.search.step();
+        current.at_ms = ms + call_ms;
+        searching.push_back(current);
     }
 
-    fn run(
+    /// Starts a run on an engine.
+    fn start_run(
         &mut self,
         request: usize,
         req: &Request,
@@ -254,96 +294,106 @@
     ) {
         let want = want(request, req);
         let cost = self.lines[owner].cost(&want);
-        running.insert(request, Run { owner, want, cost, since_ms: ms, first_ms: None });
+        running.insert(request, Run { owner, want, cost, started_ms: ms, first_ms: None });
         let engine: usize = spec.name[1..].parse().unwrap();
         self.engines[engine].jobs.push(Job::new(request, req.prompt, req.output));
     }
 
-    fn work(
+    /// Advances all engines by one time step.
+    fn tick_engines(
         &mut self,
         load: &[Request],
         ms: u64,
-        fates: &mut [Fate],
+        results: &mut [RequestResult],
         running: &mut HashMap<usize, Run>,
     ) {
         for engine in 0..self.engines.len() {
-            let done = self.engines[engine].work(TICK_MS as f64);
-            for request in done.begun {
+            let report = self.engines[engine].tick(TICK_MS as f64);
+            for request in report.first_tokens {
                 let since = ms - load[request].at_ms;
-                fates[request].first_ms.get_or_insert(since);
+                results[request].first_ms.get_or_insert(since);
                 if let Some(run) = running.get_mut(&request) {
                     run.first_ms.get_or_insert(ms);
                 }
             }
-            for request in done.paused {
-                fates[request].paused = true;
+            for request in report.paused {
+                results[request].paused = true;
             }
-            for (request, tokens) in done.ended {
-                fates[request].whole = true;
+            for (request, tokens) in report.completed {
+                results[request].completed = true;
                 let Some(run) = running.remove(&request) else { continue };
                 let now = self.at(ms);
-                let first = run.first_ms.map(|first| Duration::from_millis(first - run.since_ms));
-                let report = RunReport { verdict: Verdict::Succeeded, tokens: Some(tokens), first };
-                self.lines[run.owner].give_back(&name(engine), &run.want, run.cost, report, now);
+                let first = run.first_ms.map(|first| Duration::from_millis(first - run.started_ms));
+                let run_report =
+                    RunReport { verdict: Verdict::Succeeded, tokens: Some(tokens), first };
+                self.lines[run.owner].give_back(
+                    &name(engine),
+                    &run.want,
+                    run.cost,
+                    run_report,
+                    now,
+                );
             }
         }
     }
 
-    fn answers(
+    /// Starts or refuses the waiting requests that the owners have decided on.
+    fn collect_answers(
         &mut self,
         load: &[Request],
         ms: u64,
         waiting: &mut BTreeMap<(usize, u64), Waiting>,
         running: &mut HashMap<usize, Run>,
-        fates: &mut [Fate],
+        results: &mut [RequestResult],
     ) {
         for owner in 0..self.lines.len() {
             for answer in self.lines[owner].take_answers() {
                 let entry = waiting.remove(&(owner, answer.ticket));
                 let Some(Waiting { request, .. }) = entry else { continue };
                 match answer.slot {
-                    Ok(spec) => self.run(request, &load[request], owner, &spec, ms, running),
-                    Err(_) => fates[request].refused_after_ms = Some(ms - load[request].at_ms),
+                    Ok(spec) => self.start_run(request, &load[request], owner, &spec, ms, running),
+                    Err(_) => results[request].refused_after_ms = Some(ms - load[request].at_ms),
                 }
             }
         }
     }
 
-    fn give_up(
+    /// Refuses requests that have waited for too long.
+    fn time_out(
         &mut self,
         load: &[Request],
         ms: u64,
         waiting: &mut BTreeMap<(usize, u64), Waiting>,
-        fates: &mut [Fate],
+        results: &mut [RequestResult],
     ) {
-        let late: Vec<(usize, u64)> =
+        let expired: Vec<(usize, u64)> =
             waiting.iter().filter(|(_, w)| w.until_ms <= ms).map(|(key, _)| *key).collect();
-        for key in late {
+        for key in expired {
             let Some(entry) = waiting.remove(&key) else { continue };
             self.lines[key.0].cancel(key.1);
-            fates[entry.request].refused_after_ms = Some(ms - load[entry.request].at_ms);
+            results[entry.request].refused_after_ms = Some(ms - load[entry.request].at_ms);
         }
     }
 
-    fn happen(&mut self, event: Event, ms: u64) {
+    fn apply(&mut self, event: Event, ms: u64) {
         let engine = match event {
-            Event::Leaves { engine } => {
-                self.away.insert(engine);
+            Event::Drains { engine } => {
+                self.draining.insert(engine);
                 engine
             }
-            Event::Returns { engine } => {
-                self.away.remove(&engine);
+            Event::Resumes { engine } => {
+                self.draining.remove(&engine);
                 engine
             }
         };
         self.sync(self.owner_of[engine], ms);
     }
 
-    /// Tells an owner which engines it decides for.
+    /// Updates the engines that an owner places requests on.
     fn sync(&mut self, owner: usize, ms: u64) {
         let own = (0..self.engines.len()).filter(|i| self.owner_of[*i] == owner);
         let specs: Vec<RunnerSpec> =
-            own.filter(|i| !self.away.contains(i)).map(|i| self.spec(i)).collect();
+            own.filter(|i| !self.draining.contains(i)).map(|i| self.spec(i)).collect();
         let now = self.at(ms);
         self.lines[owner].update(now, |table| table.sync(specs));
     }
@@ -362,15 +412,15 @@
     fn search(&mut self, req: &Request) -> Search {
         let mut choices: BTreeMap<usize, OwnerChoice> = BTreeMap::new();
         for (engine, owner) in self.owner_of.iter().enumerate() {
-            if self.away.contains(&engine) {
+            if self.draining.contains(&engine) {
                 continue;
             }
             let near = self.engines[engine].domain == req.domain % self.domains;
             let none = OwnerChoice { addr: addr(*owner), engines: 0, near };
             choices.entry(*owner).or_insert(none).engines += 1;
         }
-        let accepts = Duration::from_millis(req.aim_ms / 2);
-        if self.policy == Policy::OneEach {
+        let accepts = Duration::from_millis(req.target_ms / 2);
+        if self.policy == Policy::OwnerPerEngine {
             let mut near: Vec<OwnerChoice> = choices.into_values().collect();
             near.sort_by_cached_key(|choice| (!choice.near, self.rng.random::<u64>()));
             near.truncate(4);
@@ -398,7 +448,7 @@
         prompt: req.prompt,
         max_tokens: 1_104,
         near: Some(req.domain.to_string()),
-        accepts: Some(Duration::from_millis(req.aim_ms / 2)),
+        accepts: Some(Duration::from_millis(req.target_ms / 2)),
         ..Want::default()
     }
 }
--- a/crates/hatchpitch/tests/overload/main.rs
+++ b/crates/hatchpitch/tests/overload/main.rs
@@ -1,5 +1,5 @@
-//! Loads at their worst, replayed against the decisions of `dispatch`, with the simplest way to
-//! take them beside it: each engine has an owner of its own, near ones are asked.
+//! Overload scenarios, simulated with the decisions of `dispatch` and compared with a baseline in
+//! which each engine has its own owner and requests ask a few of those nearby.
 //!
 //! `cargo test -p hatchpitch --test overload -- --nocapture` prints the figures.
 
@@ -7,139 +7,152 @@
 mod fleet;
 mod loads;
 
-use fleet::{Event, Fate, Fleet, Policy, Request};
-use loads::{Load, leaving};
+use fleet::{Event, Fleet, Policy, Request, RequestResult};
+use loads::{Load, rolling_drains};
 
-/// Failure domains, and engines a failure domain, of the replayed fleet.
+/// Number of failure domains, and of engines in all of them together.
 const DOMAINS: usize = 5;
 const ENGINES: usize = 60;
-/// Two engines in three work at one pace, the third is faster.
+/// Relative speeds of the engines: every third one is faster.
 const SPEEDS: [f64; 3] = [1.0, 1.0, 1.3];
-/// Memory of an engine, in tokens.
+/// KV memory of an engine, in tokens.
 const MEMORY: u64 = 33_640;
-/// Time that a replay goes on after its last request, in ms.
+/// Time for which a simulation continues after the last request, in milliseconds.
 const AFTER_MS: u64 = 12_000;
 
-/// What a replay comes to.
+/// Figures of one simulation.
 #[derive(Debug)]
 struct Outcome {
-    /// Share of requests whose first token came in time and that ended whole.
-    in_aim: f64,
-    /// The same for the callers of the worst failure domain.
+    /// Share of requests that got their first token in time and completed without a pause.
+    on_time: f64,
+    /// The same for the requests of the worst failure domain.
     worst_domain: f64,
-    /// The same for the requests of long prompts and those of short outputs.
+    /// The same for requests with more than 40 output tokens.
     long: f64,
+    /// The same for requests with at most 40 output tokens.
     short: f64,
+    /// Share of requests that were refused.
     refused: f64,
+    /// Number of preemptions.
     preempted: usize,
 }
 
-fn replay(policy: Policy, load: &[Request], events: &[(u64, Event)]) -> (Outcome, Vec<Fate>) {
+fn simulate(
+    policy: Policy,
+    load: &[Request],
+    events: &[(u64, Event)],
+) -> (Outcome, Vec<RequestResult>) {
     let mut fleet = Fleet::new(policy, DOMAINS, ENGINES, &SPEEDS, MEMORY);
     let end = load.last().map_or(0, |req| req.at_ms) + AFTER_MS;
-    let fates = fleet.play(load, events, end);
+    let results = fleet.simulate(load, events, end);
     let share = |keep: &dyn Fn(&Request) -> bool| {
-        let kept = load.iter().zip(&fates).filter(|(req, _)| keep(req));
-        let good =
-            |(req, fate): &(&Request, &Fate)| fate.whole && !fate.paused && in_time(req, fate);
+        let kept = load.iter().zip(&results).filter(|(req, _)| keep(req));
+        let is_good = |(req, result): &(&Request, &RequestResult)| {
+            result.completed && !result.paused && in_time(req, result)
+        };
         let (all, good) = kept.fold((0.0, 0.0), |(all, sum), pair| {
-            (all + 1.0, sum + f64::from(u8::from(good(&pair))))
+            (all + 1.0, sum + f64::from(u8::from(is_good(&pair))))
         });
         if all > 0.0 { good / all } else { 1.0 }
     };
     let worst = (0..DOMAINS).map(|domain| share(&|req| req.domain == domain)).fold(1.0, f64::min);
-    let refused = fates.iter().filter(|fate| fate.refused_after_ms.is_some()).count();
+    let refused = results.iter().filter(|result| result.refused_after_ms.is_some()).count();
     let outcome = Outcome {
-        in_aim: share(&|_| true),
+        on_time: share(&|_| true),
         worst_domain: worst,
         long: share(&|req| req.output > 40),
         short: share(&|req| req.output <= 40),
         refused: refused as f64 / load.len() as f64,
         preempted: fleet.engines.iter().map(|engine| engine.preempted).sum(),
     };
-    (outcome, fates)
+    (outcome, results)
 }
 
-fn in_time(req: &Request, fate: &Fate) -> bool {
-    fate.first_ms.is_some_and(|first| first <= req.aim_ms)
+fn in_time(req: &Request, result: &RequestResult) -> bool {
+    result.first_ms.is_some_and(|first| first <= req.target_ms)
 }
 
 impl Outcome {
     fn print(&self, policy: &str) {
         println!(
-            "  {policy:<15} in aim {:.3}, worst failure domain {:.3}, long {:.3}, short {:.3}, \
+            "  {policy:<16} on time {:.3}, worst failure domain {:.3}, long {:.3}, short {:.3}, \
              refused {:.3}, preempted {}",
-            self.in_aim, self.worst_domain, self.long, self.short, self.refused, self.preempted
+            self.on_time, self.worst_domain, self.long, self.short, self.refused, self.preempted
         );
     }
 }
 
-/// Replays a load with both policies and prints what they come to.
+/// Simulates a load with both policies and prints their figures.
 fn compare(name: &str, load: &[Request], events: &[(u64, Event)]) -> (Outcome, Outcome) {
-    let (naive, _) = replay(Policy::OneEach, load, events);
-    let (ours, _) = replay(Policy::Shards, load, events);
+    let (baseline, _) = simulate(Policy::OwnerPerEngine, load, events);
+    let (sharded, _) = simulate(Policy::Sharded, load, events);
     println!("{name}: {} requests", load.len());
-    naive.print("one owner each");
-    ours.print("shards");
-    (naive, ours)
+    baseline.print("owner per engine");
+    sharded.print("sharded");
+    (baseline, sharded)
 }
 
 #[test]
-fn callers_that_move_to_another_failure_domain_find_room_outside_it() {
+fn callers_redirected_to_one_failure_domain_use_capacity_outside_it() {
     let mut load = Load::new(11, 20_000);
-    // For ten seconds the callers of two failure domains ask at boxes of a third one.
-    load.moved = Some((5_000..15_000, vec![1, 2], 0));
-    let (naive, ours) = compare("callers move", &load.requests(), &leaving(20_000, ENGINES));
-    assert!(ours.worst_domain > naive.worst_domain + 0.05, "{ours:?} {naive:?}");
-    assert!(ours.in_aim > 0.97, "{ours:?}");
+    // For ten seconds, requests from two failure domains arrive at boxes of a third one.
+    load.redirected = Some((5_000..15_000, vec![1, 2], 0));
+    let (baseline, sharded) =
+        compare("callers redirected", &load.requests(), &rolling_drains(20_000, ENGINES));
+    assert!(sharded.worst_domain > baseline.worst_domain + 0.05, "{sharded:?} {baseline:?}");
+    assert!(sharded.on_time > 0.97, "{sharded:?}");
 }
 
 #[test]
-fn a_sixth_of_the_engines_leaves_every_few_seconds_at_the_peak() {
+fn rolling_drains_of_a_sixth_of_the_engines_at_peak_load() {
     let mut load = Load::new(12, 20_000);
     load.rate = 1.6;
-    let (naive, ours) = compare("engines leave", &load.requests(), &leaving(20_000, ENGINES));
-    assert!(ours.in_aim > naive.in_aim, "{ours:?} {naive:?}");
+    let (baseline, sharded) =
+        compare("rolling drains", &load.requests(), &rolling_drains(20_000, ENGINES));
+    assert!(sharded.on_time > baseline.on_time, "{sharded:?} {baseline:?}");
 }
 
 #[test]
-fn all_callers_are_back_at_once() {
+fn burst_when_all_callers_reconnect() {
     let mut load = Load::new(13, 16_000);
     load.burst = Some((4_000..6_000, 6.0));
-    let (naive, ours) = compare("all back at once", &load.requests(), &[]);
-    assert!(ours.in_aim > naive.in_aim, "{ours:?} {naive:?}");
-    // 0.783 while late ones went first and one that found no room held up all others.
-    assert!(ours.in_aim > 0.81, "{ours:?}");
+    let (baseline, sharded) = compare("reconnect burst", &load.requests(), &[]);
+    assert!(sharded.on_time > baseline.on_time, "{sharded:?} {baseline:?}");
+    // The share was 0.783 while late requests went first and one request that did not fit blocked
+    // all others in the queue.
+    assert!(sharded.on_time > 0.81, "{sharded:?}");
 }
 
 #[test]
-fn more_work_than_the_engines_take_for_ten_seconds() {
+fn sustained_overload_for_ten_seconds() {
     let mut load = Load::new(14, 20_000);
     load.burst = Some((5_000..15_000, 1.8));
-    let (naive, ours) = compare("overload", &load.requests(), &leaving(20_000, ENGINES));
-    assert!(ours.in_aim > naive.in_aim, "{ours:?} {naive:?}");
+    let (baseline, sharded) =
+        compare("overload", &load.requests(), &rolling_drains(20_000, ENGINES));
+    assert!(sharded.on_time > baseline.on_time, "{sharded:?} {baseline:?}");
 }
 
 #[test]
-fn workspaces_of_one_priority_get_equal_service_beside_a_large_one() {
+fn small_workspaces_are_served_on_time_beside_a_large_one_of_equal_priority() {
     let mut load = Load::new(15, 20_000);
     load.burst = Some((5_000..15_000, 3.0));
     load.large_share = 0.5;
     load.short_first = false;
     let requests = load.requests();
-    let (_, fates) = replay(Policy::Shards, &requests, &[]);
+    let (_, results) = simulate(Policy::Sharded, &requests, &[]);
     let share = |large: bool| {
-        let asked = requests.iter().zip(&fates).filter(|(req, _)| {
+        let selected = requests.iter().zip(&results).filter(|(req, _)| {
             (req.workspace == 0) == large && (7_000..15_000).contains(&req.at_ms)
         });
-        let (all, good) = asked.fold((0.0, 0.0), |(all, good), (req, fate)| {
-            (all + 1.0, good + f64::from(u8::from(fate.whole && in_time(req, fate))))
+        let (all, good) = selected.fold((0.0, 0.0), |(all, good), (req, result)| {
+            (all + 1.0, good + f64::from(u8::from(result.completed && in_time(req, result))))
         });
         good / all
     };
     let (large, others) = (share(true), share(false));
     println!("a large workspace: served in time {large:.3}, of the 39 others {others:.3}");
     assert!(others > 0.95, "{others}");
-    // Room that the others cannot use is not left idle: 0.18 while nobody went past.
+    // Capacity that the other workspaces cannot use must not stay idle. The share was 0.18 while no
+    // request could overtake another in the queue.
     assert!(large > 0.3, "{large}");
 }
