--- a/crates/hatchpitch/tests/ownership.rs
+++ b/crates/hatchpitch/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Owners that are mended by what changed, against owners worked out anew.
+//! Compares incremental updates of engine owners with owners computed from scratch.
 
 use hatchpitch::config::{ConfigState, FleetView, load_fleet};
 use hatchpitch::dispatch::owners::{OwnerMap, owner_of, shard_of, shards};
@@ -16,8 +16,8 @@
     }
 }
 
-/// Works out the owner of an engine anew: that of its shard, among the boxes of its failure
-/// domain, or among all boxes while none serves there.
+/// Computes the owner of an engine from scratch: the owner of its shard among the boxes of the
+/// engine's failure domain, or among all boxes if none of that domain is serving.
 fn expected_owner<'a>(
     runner: &str,
     engines: usize,
@@ -28,7 +28,7 @@
     owner_of(&key, near).or_else(|| owner_of(&key, boxes.iter().copied()))
 }
 
-/// A view with the engines of `mask`.
+/// Returns a view of a fleet that has engine `e{i}` for each bit `i` set in `mask`.
 fn view(mask: u32) -> FleetView {
     let mut text = String::from(
         "number = 1\n[[failure_domain]]\nname = \"d\"\nregion = \"r\"\n[[pool]]\nname = \"p\"\n\
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn mended_owners_are_those_worked_out_anew() {
+fn incremental_updates_match_owners_computed_from_scratch() {
     let members: Vec<MemberRecord> = (0..16).map(member).collect();
     for seed in 0..40_u64 {
         arbtest::arbtest(|u| {
@@ -62,7 +62,7 @@
                     .collect();
                 map.set_engines(&view);
                 map.update(&boxes, &members[3]);
-                let mut counted = 0;
+                let mut total = 0;
                 let runners = &view.pools[0].runners;
                 for runner in runners {
                     let expected = expected_owner(&runner.name, runners.len(), &boxes);
@@ -72,11 +72,14 @@
                     assert_eq!(map.owner(&runner.name), name);
                     let own = expected.is_none_or(|r| r.subject == members[3].subject);
                     assert_eq!(map.owns(&runner.name), own);
-                    counted += 1;
+                    total += 1;
                 }
-                assert_eq!(map.owners_of("p").values().sum::<usize>(), counted);
+                assert_eq!(map.owners_of("p").values().sum::<usize>(), total);
                 assert!(!map.owns("nobody"));
-                assert!(!map.update(&boxes, &members[3]), "the same again changes nothing");
+                assert!(
+                    !map.update(&boxes, &members[3]),
+                    "an update with the same boxes changes nothing"
+                );
             }
             Ok(())
         })
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn a_box_that_leaves_moves_only_its_own_engines() {
+fn departing_box_moves_only_its_own_engines() {
     let members: Vec<MemberRecord> = (0..8).map(member).collect();
     let all: Vec<&MemberRecord> = members.iter().collect();
     let view = view(u32::MAX);
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn a_shard_holds_few_engines_and_doubling_leaves_half_of_them_in_place() {
+fn shards_are_small_and_doubling_their_number_keeps_half_of_the_engines_in_place() {
     for engines in 1..200_usize {
         let count = shards(engines);
         assert!(engines.div_ceil(count) <= 8, "{engines} engines, {count} shards");
@@ -113,7 +116,7 @@
 }
 
 #[test]
-fn owners_stand_in_the_failure_domain_of_their_engines_while_a_box_serves_there() {
+fn owners_are_in_the_failure_domain_of_their_engines_while_a_box_serves_there() {
     let members: Vec<MemberRecord> = (0..8).map(member).collect();
     let all: Vec<&MemberRecord> = members.iter().collect();
     let far: Vec<&MemberRecord> = vec![&members[3], &members[7]];
