--- a/crates/hatchpitch/src/moves/mod.rs
+++ b/crates/hatchpitch/src/moves/mod.rs
@@ -1,16 +1,17 @@
-//! Moves running generations off a runner that leaves, before it is gone.
+//! Moves running generations off a runner that is shutting down (live migration).
 //!
-//! A runner copies the memory of one generation at a time over its link. A
-//! stream is stopped only for the last, small part; were that to wait behind
-//! other copies, the stream would pause for all of them. So the runner's owner
-//! gives out turns: one generation is moved from its first copy to its last.
+//! A runner copies the memory (KV cache) of one generation at a time over its link. The first copy
+//! is made while the run continues; the stream is stopped only for the final copy, which is small.
+//! If the final copy had to queue behind copies of other generations, the stream would pause for
+//! all of them. The runner's owner therefore grants turns, so that one generation at a time is
+//! moved, from its first copy to its final one.
 
-pub mod ask;
 pub mod messages;
 pub mod mover;
-pub mod turns;
+pub mod state;
+pub mod task;
 pub mod verify;
 
 pub use messages::{TurnAnswer, TurnDone, TurnRequest};
-pub use mover::{Leaver, MoveEnd, Moved, start};
-pub use turns::Turns;
+pub use mover::{MoveOutcome, Moved, SourceRunner, start};
+pub use state::Turns;
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -22,7 +22,7 @@
 use crate::ids::ServiceName;
 use crate::metrics::{Count, STALL_THRESHOLD, Timing};
 use crate::moves::mover::Moving;
-use crate::moves::{self, Leaver, MoveEnd, Moved};
+use crate::moves::{self, MoveOutcome, Moved, SourceRunner};
 use crate::quarantine::ContentId;
 use crate::quarantine::observer::{self, RunPlace};
 use crate::registry::Phase;
@@ -253,7 +253,7 @@
     /// Starts a migration once the runner is about to shut down, and clears one that was abandoned.
     fn poll_move(&mut self) {
         if let Some(moving) = &mut self.moving {
-            if moving.came_to_nothing() {
+            if moving.has_failed() {
                 self.moving = None;
                 self.next_move = clock::now() + MOVE_DELAY;
             }
@@ -280,14 +280,14 @@
             return;
         }
         self.moves += 1;
-        let leaver = Leaver {
+        let source = SourceRunner {
             service: self.service.clone(),
             runner: self.slot.runner.clone(),
             addr: self.slot.addr,
             failure_domain: self.slot.failure_domain.clone(),
         };
         let in_memory = needs.prompt + produced;
-        self.moving = Some(moves::start(&self.relay, &self.req, leaver, at_stake, in_memory));
+        self.moving = Some(moves::start(&self.relay, &self.req, source, at_stake, in_memory));
     }
 
     fn refresh_leaving(&mut self) {
@@ -309,13 +309,13 @@
             // The run was not stopped, so it has finished; its migration is abandoned.
             return Ok(None);
         }
-        let moved = match compio::time::timeout(MOVE_TIMEOUT, moving.end).await {
-            Ok(Ok(MoveEnd::Moved(moved))) => moved,
-            Ok(Ok(MoveEnd::Stays(_))) => return Ok(None),
+        let moved = match compio::time::timeout(MOVE_TIMEOUT, moving.outcome).await {
+            Ok(Ok(MoveOutcome::Moved(moved))) => moved,
+            Ok(Ok(MoveOutcome::Stays(_))) => return Ok(None),
             // The stream of a stopped run is closed without its terminator, so this run was not
             // stopped.
             _ if *closed == StreamEnd::Whole => return Ok(None),
-            Ok(Ok(MoveEnd::Lost(cause))) => return Err(cause),
+            Ok(Ok(MoveOutcome::Lost(cause))) => return Err(cause),
             Ok(Err(_)) | Err(_) => return Err("the move did not end in time".to_owned()),
         };
         self.splitter.discard_incomplete();
@@ -417,7 +417,7 @@
         let gap = clock::since(self.last_progress);
         if self.first_event.is_none() {
             self.first_event = Some(clock::since(self.req.received));
-            self.slot.begun();
+            self.slot.record_first_token();
             metrics.time(Timing::FirstToken, route, priority, clock::since(self.req.received));
         } else {
             metrics.time(Timing::TokenGap, route, priority, gap);
