--- a/crates/hatchpitch/src/claims/client.rs
+++ b/crates/hatchpitch/src/claims/client.rs
@@ -1,40 +1,41 @@
-//! Claims from an entry box.
+//! Client with which an entry box makes and settles claims.
 
 use std::time::Duration;
 
 use super::messages::{ClaimOutcome, ClaimRequest, SettleRequest};
 use crate::control::leader::LeaderClient;
 
-/// Path for claims at a control box.
+/// Path of the claim endpoint of a control box.
 pub const CLAIM_PATH: &str = "/box/claim";
-/// Path for settlements at a control box.
+/// Path of the settlement endpoint of a control box.
 pub const SETTLE_PATH: &str = "/box/settle";
-/// Time for one call.
-const CALL_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time in which a claim must be decided before the request is refused as not run.
-const CLAIM_BUDGET: Duration = Duration::from_secs(4);
-/// Time for which a settlement is tried again.
-const SETTLE_BUDGET: Duration = Duration::from_secs(60);
+/// Timeout of a single call to a control box.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Total time allowed for a claim, retries included; after it the request is refused as not run.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
+/// Total time for which a settlement is retried.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Claims and settles at the control leader.
+/// Sends claims and settlements to the control leader.
 #[derive(Clone)]
 pub struct ClaimClient(LeaderClient);
 
 impl ClaimClient {
-    /// Creates a client that asks through `leader`.
+    /// Creates a client that sends its calls through `leader`.
     pub fn new(leader: LeaderClient) -> Self {
         Self(leader)
     }
 
     /// Claims a request; `None` if no control quorum answered in time.
     ///
-    /// The same attempt asks each box in turn, so a lost reply grants nothing twice.
+    /// Retries carry the same attempt id, so a claim whose reply was lost is not granted to a
+    /// second attempt.
     pub async fn claim(&self, req: &ClaimRequest) -> Option<ClaimOutcome> {
-        self.0.ask(CLAIM_PATH, req, CALL_LIMIT, CLAIM_BUDGET).await
+        self.0.ask(CLAIM_PATH, req, CALL_TIMEOUT, CLAIM_TIMEOUT).await
     }
 
-    /// Settles a claim, trying for a while.
+    /// Settles a claim, with retries; returns whether a control box confirmed it in time.
     pub async fn settle(&self, req: &SettleRequest) -> bool {
-        self.0.ask::<_, ()>(SETTLE_PATH, req, CALL_LIMIT, SETTLE_BUDGET).await.is_some()
+        self.0.ask::<_, ()>(SETTLE_PATH, req, CALL_TIMEOUT, SETTLE_TIMEOUT).await.is_some()
     }
 }
--- a/crates/hatchpitch/src/claims/messages.rs
+++ b/crates/hatchpitch/src/claims/messages.rs
@@ -1,4 +1,4 @@
-//! Messages about claims.
+//! Messages between entry boxes and control boxes that claim and settle requests.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use crate::ids::{AttemptId, Digest, WorkspaceName};
 
-/// What a claim is about: one request of one workspace, however often it is sent.
+/// Identifies a claimed request; retries of the same request have the same id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The workspace.
+    /// The workspace that sends the request.
     pub workspace: WorkspaceName,
     /// The caller's `Idempotency-Key`.
     pub key: String,
 }
 
-/// Asks for the right to run a request.
+/// Asks for the exclusive right to run a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The request.
+    /// The request to claim.
     pub id: ClaimId,
-    /// Digest of its content.
+    /// Digest of the request content, by which reuse of a key for another request is detected.
     pub content: Digest,
-    /// The attempt that wants to run it; the same attempt may ask again.
+    /// The attempt that is to run the request; it may repeat its claim.
     pub attempt: AttemptId,
-    /// Time after which a claim that was not settled counts as unknown.
+    /// Time after which an unsettled claim changes to [`ClaimOutcome::Unknown`].
     pub run_limit: Duration,
 }
 
@@ -33,26 +33,26 @@
 pub enum ClaimOutcome {
     /// The attempt may run the request, once.
     Granted,
-    /// The request was run; this was the answer.
+    /// The request was run; this is the stored answer.
     Kept(KeptAnswer),
-    /// Another attempt holds the claim and has not settled it.
+    /// Another attempt holds the claim and has not settled it yet.
     Running,
-    /// The request may have been run; its answer is lost.
+    /// The request may have been run, and its answer is not available.
     Unknown,
-    /// The key was used for another request.
+    /// The idempotency key was used for a request with other content.
     KeyReused,
-    /// The workspace holds as many claims as it may.
+    /// The workspace has reached its limit of stored claims.
     TooMany,
 }
 
-/// An answer kept for callers that ask again.
+/// An answer stored for retries of a settled request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// Body; `None` if it was too large to keep.
+    /// Body; `None` if it was larger than [`ClaimsConfig::max_answer`](super::ClaimsConfig::max_answer).
     pub body: Option<Vec<u8>>,
 }
 
@@ -61,19 +61,19 @@
 pub enum Settlement {
     /// The request was run and answered.
     Done(KeptAnswer),
-    /// No byte of the request reached an upstream, so it may be claimed anew.
+    /// No byte of the request reached an upstream, so another attempt may claim it.
     NotRun,
-    /// The request may have been run.
+    /// It is unknown whether the request was run.
     Unknown,
 }
 
-/// Ends a claim. Only the attempt that holds it can.
+/// Settles a claim. It is ignored unless it comes from the attempt that holds the claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
-    /// The request.
+    /// The claimed request.
     pub id: ClaimId,
-    /// The attempt that held the claim.
+    /// The attempt that holds the claim.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// How the attempt ended.
     pub settlement: Settlement,
 }
--- a/crates/hatchpitch/src/claims/mod.rs
+++ b/crates/hatchpitch/src/claims/mod.rs
@@ -1,4 +1,7 @@
-//! Requests that must not be repeated: claimed before the first byte goes out.
+//! At-most-once execution of requests that are not safe to repeat.
+//!
+//! An entry box claims such a request at the control leader before it sends the first byte to an
+//! upstream, and settles the claim with the outcome. Retries of the request get the stored outcome.
 
 pub mod client;
 pub mod messages;
--- a/crates/hatchpitch/src/claims/state.rs
+++ b/crates/hatchpitch/src/claims/state.rs
@@ -1,10 +1,10 @@
 //! Claims as a deterministic state machine without I/O.
 //!
 //! Invariants, checked by [`super::verify`]:
-//! - a claim is granted to one attempt; it is only granted again after that
-//!   attempt itself said that nothing was run;
-//! - memory is bounded: so many claims a workspace, each of bounded size, each
-//!   for a bounded time.
+//! - a claim is granted to a single attempt, and granted again only after that attempt itself
+//!   reported that nothing was run;
+//! - memory is bounded: the number of claims per workspace, the size of each claim and the time
+//!   for which it is stored are limited.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use super::messages::{ClaimId, ClaimOutcome, ClaimRequest, KeptAnswer, SettleRequest, Settlement};
 use crate::ids::{AttemptId, Digest, WorkspaceName};
 
-/// Time of the replicated log, in milliseconds; it never goes back.
+/// Timestamp of the replicated log, in milliseconds since 1970; it never decreases.
 pub type LogTime = u64;
 
-/// Bounds of the table.
+/// Limits of a [`ClaimTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimsConfig {
-    /// Claims a workspace may hold.
+    /// Maximum number of stored claims of one workspace.
     pub per_workspace: usize,
-    /// Largest answer kept, in bytes.
+    /// Largest stored answer body, in bytes.
     pub max_answer: usize,
-    /// How long a settled claim is kept.
+    /// Time for which a settled or unknown claim is stored.
     pub keep: Duration,
 }
 
@@ -46,16 +46,17 @@
     pub(super) content: Digest,
     pub(super) attempt: AttemptId,
     pub(super) status: ClaimStatus,
-    /// When the status ends: a running claim becomes unknown, any other is forgotten.
+    /// End of the status: a running claim becomes unknown, any other claim is removed.
     pub(super) until: LogTime,
 }
 
-/// All claims.
+/// Table of all claims, ordered by deadline for expiry.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTable {
     cfg: ClaimsConfig,
     pub(super) claims: BTreeMap<ClaimId, Claim>,
     pub(super) deadlines: BTreeSet<(LogTime, ClaimId)>,
+    /// Number of claims of each workspace.
     pub(super) held: BTreeMap<WorkspaceName, usize>,
 }
 
@@ -65,64 +66,64 @@
         Self { cfg, ..Self::default() }
     }
 
-    /// Returns how many claims are held.
+    /// Returns the number of stored claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns whether no claim is held.
+    /// Returns whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Decides on a request to run.
+    /// Decides whether an attempt may run a request, and records the claim if it may.
     pub fn claim(&mut self, req: &ClaimRequest, now: LogTime) -> ClaimOutcome {
         self.expire(now);
-        if let Some(held) = self.claims.get(&req.id) {
-            return held_outcome(held, req);
+        if let Some(existing) = self.claims.get(&req.id) {
+            return existing_outcome(existing, req);
         }
-        let held = self.held.entry(req.id.workspace.clone()).or_default();
-        if *held >= self.cfg.per_workspace {
+        let count = self.held.entry(req.id.workspace.clone()).or_default();
+        if *count >= self.cfg.per_workspace {
             return ClaimOutcome::TooMany;
         }
-        *held += 1;
+        *count += 1;
         let claim = Claim {
             content: req.content,
             attempt: req.attempt.clone(),
             status: ClaimStatus::Running,
             until: now + millis(req.run_limit),
         };
-        self.put(req.id.clone(), claim);
+        self.upsert(req.id.clone(), claim);
         ClaimOutcome::Granted
     }
 
-    /// Ends a claim; ignored unless the attempt holds it.
+    /// Settles a claim; ignored if another attempt holds it or its answer is stored already.
     pub fn settle(&mut self, req: &SettleRequest, now: LogTime) {
         self.expire(now);
-        let Some(held) = self.claims.get(&req.id) else { return };
-        let settled = matches!(held.status, ClaimStatus::Done(_));
-        if held.attempt != req.attempt || settled {
+        let Some(existing) = self.claims.get(&req.id) else { return };
+        let is_done = matches!(existing.status, ClaimStatus::Done(_));
+        if existing.attempt != req.attempt || is_done {
             return;
         }
         let status = match req.settlement.clone() {
             Settlement::NotRun => {
-                self.forget(&req.id);
+                self.remove_claim(&req.id);
                 return;
             }
-            Settlement::Done(answer) => ClaimStatus::Done(self.bounded(answer)),
+            Settlement::Done(answer) => ClaimStatus::Done(self.drop_oversized_body(answer)),
             Settlement::Unknown => ClaimStatus::Unknown,
         };
         let until = now + millis(self.cfg.keep);
-        let claim = Claim { status, until, ..held.clone() };
-        self.put(req.id.clone(), claim);
+        let claim = Claim { status, until, ..existing.clone() };
+        self.upsert(req.id.clone(), claim);
     }
 
-    fn bounded(&self, mut answer: KeptAnswer) -> KeptAnswer {
+    fn drop_oversized_body(&self, mut answer: KeptAnswer) -> KeptAnswer {
         answer.body = answer.body.filter(|body| body.len() <= self.cfg.max_answer);
         answer
     }
 
-    fn put(&mut self, id: ClaimId, claim: Claim) {
+    fn upsert(&mut self, id: ClaimId, claim: Claim) {
         self.deadlines.insert((claim.until, id.clone()));
         if let Some(old) = self.claims.insert(id.clone(), claim.clone())
             && old.until != claim.until
@@ -131,12 +132,12 @@
         }
     }
 
-    fn forget(&mut self, id: &ClaimId) {
+    fn remove_claim(&mut self, id: &ClaimId) {
         let Some(claim) = self.claims.remove(id) else { return };
         self.deadlines.remove(&(claim.until, id.clone()));
-        if let Some(held) = self.held.get_mut(&id.workspace) {
-            *held -= 1;
-            if *held == 0 {
+        if let Some(count) = self.held.get_mut(&id.workspace) {
+            *count -= 1;
+            if *count == 0 {
                 self.held.remove(&id.workspace);
             }
         }
@@ -151,20 +152,21 @@
             match running.cloned() {
                 Some(claim) => {
                     let until = until + millis(self.cfg.keep);
-                    self.put(id, Claim { status: ClaimStatus::Unknown, until, ..claim });
+                    self.upsert(id, Claim { status: ClaimStatus::Unknown, until, ..claim });
                 }
-                None => self.forget(&id),
+                None => self.remove_claim(&id),
             }
         }
     }
 }
 
-fn held_outcome(held: &Claim, req: &ClaimRequest) -> ClaimOutcome {
-    if held.content != req.content {
+/// Returns the outcome of a claim on a request that has been claimed before.
+fn existing_outcome(existing: &Claim, req: &ClaimRequest) -> ClaimOutcome {
+    if existing.content != req.content {
         return ClaimOutcome::KeyReused;
     }
-    match &held.status {
-        ClaimStatus::Running if held.attempt == req.attempt => ClaimOutcome::Granted,
+    match &existing.status {
+        ClaimStatus::Running if existing.attempt == req.attempt => ClaimOutcome::Granted,
         ClaimStatus::Running => ClaimOutcome::Running,
         ClaimStatus::Done(answer) => ClaimOutcome::Kept(answer.clone()),
         ClaimStatus::Unknown => ClaimOutcome::Unknown,
--- a/crates/hatchpitch/src/claims/verify.rs
+++ b/crates/hatchpitch/src/claims/verify.rs
@@ -4,24 +4,24 @@
 
 use super::state::ClaimTable;
 
-/// Checks a table.
+/// Checks that the deadlines and the counts of a table match its claims.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the invariant that is violated.
 pub fn verify(table: &ClaimTable) -> Result<(), String> {
     if table.deadlines.len() != table.claims.len() {
-        return Err("claims and deadlines differ in number".to_owned());
+        return Err("number of claims and number of deadlines differ".to_owned());
     }
-    let mut held = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for (id, claim) in &table.claims {
         if !table.deadlines.contains(&(claim.until, id.clone())) {
-            return Err(format!("{id:?} has no deadline"));
+            return Err(format!("claim {id:?} has no deadline entry"));
         }
-        *held.entry(id.workspace.clone()).or_default() += 1_usize;
+        *counts.entry(id.workspace.clone()).or_default() += 1_usize;
     }
-    if held != table.held {
-        return Err("the counts of the workspaces are wrong".to_owned());
+    if counts != table.held {
+        return Err("claim counts per workspace do not match the claims".to_owned());
     }
     Ok(())
 }
