--- a/crates/hatchpitch/src/engine/adapter.rs
+++ b/crates/hatchpitch/src/engine/adapter.rs
@@ -1,4 +1,4 @@
-//! Speaks to engines: JSON requests, answers as JSON lines.
+//! HTTP client for engines: JSON requests, streamed answers as newline-delimited JSON.
 
 use std::fmt;
 use std::time::Duration;
@@ -15,44 +15,44 @@
 use crate::trace::TRACEPARENT;
 use crate::upstream_heads::{HeadNames, HeadSignals};
 
-/// Longest line read from an engine, in bytes.
+/// Maximum length of one line of a stream, in bytes.
 const MAX_LINE: usize = 64 * 1024;
-/// Largest whole answer read from an engine, in bytes.
+/// Maximum size of an answer that is not streamed, in bytes.
 const MAX_ANSWER: usize = 256 * 1024;
-/// Time for small calls.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of calls that do not open a stream.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Headers by which engines and services say something of themselves, in any of their answers.
+/// Response headers in which engines and services announce their rate limit or that they leave.
 pub const HEAD_NAMES: HeadNames =
     HeadNames { limit: "hatchpitch-rate-limit", leaving: "hatchpitch-leaving" };
 
-/// Takes in what the head of an answer says of its upstream.
+/// Callback for the signals in the response head of an upstream.
 pub type OnHead<'a> = &'a dyn Fn(HeadSignals);
 
 /// A failed call to an engine.
 #[derive(Debug)]
 pub enum EngineError {
-    /// The call failed on the way.
+    /// The request could not be sent, or no response head arrived.
     Send(SendError),
-    /// The engine answered with a refusal.
+    /// The engine answered with an error status.
     Refused {
-        /// Status of the answer.
+        /// Status code of the answer.
         status: StatusCode,
-        /// Why.
+        /// Reason given by the engine.
         cause: String,
-        /// Whether the engine says that nothing was run.
+        /// Whether the engine reports that nothing was run.
         not_run: bool,
     },
-    /// The stream broke.
+    /// The response body could not be read to its end.
     Body(BodyError),
-    /// A line does not decode.
+    /// A message could not be encoded or decoded.
     Decode(String),
-    /// The engine takes nothing now, for this reason; nothing was sent.
+    /// The engine accepts no requests at present, for this reason; nothing was sent.
     Closed(&'static str),
 }
 
 impl EngineError {
-    /// Returns whether the engine cannot have run anything.
+    /// Returns whether it is certain that the engine has run nothing.
     pub fn is_not_run(&self) -> bool {
         match self {
             Self::Send(err) => err.is_not_run(),
@@ -79,18 +79,19 @@
 
 impl std::error::Error for EngineError {}
 
-/// Reads the events of one stream.
+/// Reads the events of one response stream.
 pub struct EventReader {
     body: Incoming,
     buf: BytesMut,
 }
 
 impl EventReader {
-    /// Reads the next event; `None` is the regular end of the stream.
+    /// Reads the next event; `None` at the regular end of the stream.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineError`] if the link broke, a line is too long or does not decode.
+    /// Returns an [`EngineError`] if the connection broke, or if a line is too long or does
+    /// not decode.
     pub async fn next(&mut self) -> Result<Option<EngineEvent>, EngineError> {
         loop {
             if let Some(line) = self.take_line() {
@@ -101,7 +102,7 @@
                 return Err(EngineError::Decode(format!("line longer than {MAX_LINE} bytes")));
             }
             match read_stream(&mut self.body).await.map_err(EngineError::Body)? {
-                Some(piece) => self.buf.extend_from_slice(&piece),
+                Some(chunk) => self.buf.extend_from_slice(&chunk),
                 None => return Ok(None),
             }
         }
@@ -115,11 +116,12 @@
     }
 }
 
-/// Starts a generation.
+/// Starts a generation and opens its event stream.
 ///
 /// # Errors
 ///
-/// Returns an [`EngineError`]; [`EngineError::is_not_run`] tells whether it can have run.
+/// Returns an [`EngineError`]; [`EngineError::is_not_run`] tells whether it is certain that nothing
+/// was run.
 pub async fn generate(
     upstream: &Upstream,
     req: &GenerateRequest,
@@ -132,24 +134,25 @@
     open_stream(upstream, req, head_timeout, on_head).await
 }
 
-/// A reading of a generation that began.
+/// Parameters for resuming the stream of a generation.
 #[derive(Debug, Clone, Copy)]
 pub struct Link<'a> {
     /// The generation.
     pub generation: &'a str,
-    /// Names this reading.
+    /// Id of the new attempt, which every event of the stream carries.
     pub attempt: &'a str,
-    /// The first token that is read.
+    /// Index of the first token wanted.
     pub from: TokenIndex,
-    /// Span of the call.
+    /// Value of the `traceparent` header.
     pub traceparent: &'a str,
 }
 
-/// Reads a generation from a token on, taking the place of any other reader.
+/// Opens a stream of a generation from a given token on; it supersedes any other open stream.
 ///
 /// # Errors
 ///
-/// Returns an [`EngineError`]; a refusal with 404 means that the engine does not hold it.
+/// Returns an [`EngineError`]; a refusal with status 404 means that the engine does not have
+/// the generation.
 pub async fn resume(
     upstream: &Upstream,
     link: Link<'_>,
@@ -162,7 +165,7 @@
     open_stream(upstream, req, head_timeout, on_head).await
 }
 
-/// Cancels a generation unless a reading other than `attempt` has taken over.
+/// Cancels a generation unless another attempt has superseded `attempt`.
 ///
 /// # Errors
 ///
@@ -175,20 +178,20 @@
 ) -> Result<(), EngineError> {
     let path = format!("/v1/generations/{generation}?attempt={attempt}");
     let req = request(Method::DELETE, upstream, &path, "", Body::empty());
-    whole(upstream, req, on_head).await.map(|_| ())
+    call(upstream, req, on_head).await.map(|_| ())
 }
 
-/// Reads an engine's load report.
+/// Fetches the load report of an engine.
 ///
 /// # Errors
 ///
 /// Returns an [`EngineError`].
 pub async fn load(upstream: &Upstream, on_head: OnHead<'_>) -> Result<EngineLoad, EngineError> {
     let req = request(Method::GET, upstream, "/v1/load", "", Body::empty());
-    parse(&whole(upstream, req, on_head).await?)
+    parse(&call(upstream, req, on_head).await?)
 }
 
-/// Reads a JSON document from an engine.
+/// Fetches a JSON document from an engine.
 ///
 /// # Errors
 ///
@@ -198,14 +201,14 @@
     path: &str,
 ) -> Result<A, EngineError> {
     let req = request(Method::GET, upstream, path, "", Body::empty());
-    parse(&whole(upstream, req, &|_| {}).await?)
+    parse(&call(upstream, req, &|_| {}).await?)
 }
 
 fn parse<A: DeserializeOwned>(bytes: &[u8]) -> Result<A, EngineError> {
     serde_json::from_slice(bytes).map_err(|err| EngineError::Decode(err.to_string()))
 }
 
-/// Posts a JSON document to an engine and reads the whole answer.
+/// Posts a JSON document to an engine and reads the complete answer.
 ///
 /// # Errors
 ///
@@ -216,7 +219,7 @@
     message: &Q,
 ) -> Result<Bytes, EngineError> {
     let body = encode(message)?;
-    whole(upstream, request(Method::POST, upstream, path, "", body), &|_| {}).await
+    call(upstream, request(Method::POST, upstream, path, "", body), &|_| {}).await
 }
 
 fn encode<Q: Serialize>(message: &Q) -> Result<Body, EngineError> {
@@ -240,7 +243,7 @@
     if !traceparent.is_empty() {
         req = req.header(TRACEPARENT, traceparent);
     }
-    req.body(body).expect("paths and headers made here are valid")
+    req.body(body).expect("path and headers are valid by construction")
 }
 
 async fn open_stream(
@@ -254,30 +257,32 @@
     if res.status() == StatusCode::OK {
         return Ok(EventReader { body: res.into_body(), buf: BytesMut::new() });
     }
-    Err(refusal(res.status(), res.into_body()).await)
+    Err(read_refusal(res.status(), res.into_body()).await)
 }
 
-/// Returns what the head of an answer says of its upstream.
+/// Returns the signals about its upstream in a response head.
 pub fn signals(res: &Response<Incoming>) -> HeadSignals {
     HeadSignals::read(&HEAD_NAMES, res.status(), res.headers())
 }
 
-async fn whole(
+/// Sends a request and reads the complete answer.
+async fn call(
     upstream: &Upstream,
     req: Request<Body>,
     on_head: OnHead<'_>,
 ) -> Result<Bytes, EngineError> {
-    let res = upstream.send(req, CALL_LIMIT).await.map_err(EngineError::Send)?;
+    let res = upstream.send(req, CALL_TIMEOUT).await.map_err(EngineError::Send)?;
     on_head(signals(&res));
     let status = res.status();
     if !status.is_success() {
-        return Err(refusal(status, res.into_body()).await);
+        return Err(read_refusal(status, res.into_body()).await);
     }
-    read_body(res.into_body(), MAX_ANSWER, CALL_LIMIT).await.map_err(EngineError::Body)
+    read_body(res.into_body(), MAX_ANSWER, CALL_TIMEOUT).await.map_err(EngineError::Body)
 }
 
-async fn refusal(status: StatusCode, body: Incoming) -> EngineError {
-    let text = match read_body(body, MAX_ANSWER, CALL_LIMIT).await {
+/// Reads an error response; an undecodable body counts as possibly run.
+async fn read_refusal(status: StatusCode, body: Incoming) -> EngineError {
+    let text = match read_body(body, MAX_ANSWER, CALL_TIMEOUT).await {
         Ok(text) => text,
         Err(err) => return EngineError::Body(err),
     };
--- a/crates/hatchpitch/src/engine/messages.rs
+++ b/crates/hatchpitch/src/engine/messages.rs
@@ -1,25 +1,25 @@
-//! Messages to and from engines.
+//! JSON messages exchanged with engines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{AttemptId, GenerationId, Incarnation, Priority, TokenIndex};
 
-/// Asks an engine to generate.
+/// Asks an engine to start a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// Id of the generation, unique for ever.
+    /// Id of the generation; never reused.
     pub generation: GenerationId,
-    /// Id of this reading of it.
+    /// Id of this attempt to read the generation, repeated in each event of the stream.
     pub attempt: AttemptId,
-    /// The model asked for.
+    /// Name of the requested model.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Bound on the output, in tokens.
+    /// Maximum length of the output, in tokens.
     pub max_tokens: u64,
-    /// Larger ones are pushed aside last.
+    /// Generations with a lower priority are preempted first.
     pub priority: Priority,
-    /// Seed for a repeatable output.
+    /// Sampling seed for reproducible output.
     pub seed: Option<u64>,
 }
 
@@ -29,58 +29,58 @@
 pub enum FinishReason {
     /// The model ended its output.
     Stop,
-    /// The bound on the output was reached.
+    /// The maximum output length was reached.
     Length,
 }
 
-/// One line of an engine's stream.
+/// One event, encoded as a line, of an engine's stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum EngineEvent {
     /// The next token.
     Token {
-        /// The reading it belongs to.
+        /// The attempt that the event belongs to.
         attempt: AttemptId,
-        /// Its position.
+        /// Position in the output, from 0.
         index: TokenIndex,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// Nothing new, but the engine lives.
+    /// Keep-alive while there is no new token.
     Heartbeat {
-        /// The reading it belongs to.
+        /// The attempt that the event belongs to.
         attempt: AttemptId,
     },
-    /// The generation was pushed aside.
+    /// The generation was preempted and waits to be scheduled again.
     Preempted {
-        /// The reading it belongs to.
+        /// The attempt that the event belongs to.
         attempt: AttemptId,
     },
     /// The generation is complete.
     Done {
-        /// The reading it belongs to.
+        /// The attempt that the event belongs to.
         attempt: AttemptId,
-        /// How many tokens it has.
+        /// Number of tokens in the output.
         tokens: u64,
-        /// Why it ended.
+        /// Why the generation ended.
         reason: FinishReason,
     },
-    /// The engine gave the generation up.
+    /// The engine aborted the generation.
     Failed {
-        /// The reading it belongs to.
+        /// The attempt that the event belongs to.
         attempt: AttemptId,
-        /// Why.
+        /// Reason for the failure.
         cause: String,
     },
-    /// Another reading took this one's place.
+    /// Another attempt took over the stream of the generation.
     Superseded {
-        /// The reading it belongs to.
+        /// The attempt that the event belongs to.
         attempt: AttemptId,
     },
 }
 
 impl EngineEvent {
-    /// Returns the reading that the event belongs to.
+    /// Returns the attempt that the event belongs to.
     pub fn attempt(&self) -> &str {
         match self {
             Self::Token { attempt, .. }
@@ -93,84 +93,85 @@
     }
 }
 
-/// An engine's report about itself; it lags.
+/// Load report of an engine; it may be out of date when it is read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// The life of the engine.
+    /// Incarnation of the engine process.
     pub incarnation: Incarnation,
-    /// Whether it wants no new work.
+    /// Whether the engine accepts no new work.
     pub leaving: bool,
-    /// Memory in use, in tokens.
+    /// KV-cache memory in use, in tokens.
     pub memory_used: u64,
-    /// Memory there is, in tokens.
+    /// KV-cache capacity, in tokens.
     pub memory_limit: u64,
-    /// Generations in the batch.
+    /// Generations in the running batch.
     pub running: u64,
-    /// Generations that wait or were pushed aside.
+    /// Generations that are queued or preempted.
     pub waiting: u64,
-    /// Generations pushed aside since it started.
+    /// Number of preemptions since the engine started.
     pub preemptions: u64,
 }
 
-/// An engine's refusal.
+/// Body of an error response of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRefusal {
-    /// Why.
+    /// Reason for the refusal.
     pub error: String,
     /// Whether the request was run, even in part.
     pub ran: bool,
 }
 
-/// An order to an engine.
+/// An administrative order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum EngineOrder {
-    /// Hold a model in a version.
+    /// Load a model in a given version.
     LoadModel {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Its version.
+        /// Version of the model.
         version: String,
     },
-    /// Add an adapter to the model held.
+    /// Load an adapter for the loaded model.
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Change role.
+    /// Change the role of the engine.
     SetRole {
-        /// The role.
+        /// The new role.
         role: String,
     },
 }
 
-/// An order under a fence: an engine that checks rejects an older `(term, sequence)`.
+/// An order with a fencing token: an engine that checks it rejects any `(term, sequence)` older
+/// than the newest one that it has seen.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCommand {
     /// Term of the control leader.
     pub term: u64,
-    /// Sequence within the term.
+    /// Sequence number within the term.
     pub sequence: u64,
     /// The order.
     #[serde(flatten)]
     pub order: EngineOrder,
 }
 
-/// What an engine holds, read back when the outcome of a command is unknown.
+/// State of an engine, read back when the outcome of a command is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineHoldings {
-    /// The life of the engine.
+    /// Incarnation of the engine process.
     pub incarnation: Incarnation,
-    /// Newest fence seen.
+    /// Newest leader term seen.
     pub term: u64,
-    /// Newest sequence seen in that term.
+    /// Newest sequence number seen in that term.
     pub sequence: u64,
-    /// The model held.
+    /// Name of the loaded model.
     pub model: String,
-    /// Its version.
+    /// Version of the loaded model.
     pub version: String,
-    /// Adapters held.
+    /// Names of the loaded adapters.
     pub adapters: Vec<String>,
-    /// The role.
+    /// Current role.
     pub role: String,
 }
--- a/crates/hatchpitch/src/engine/mod.rs
+++ b/crates/hatchpitch/src/engine/mod.rs
@@ -1,6 +1,7 @@
-//! The one place that knows how engines are spoken to; see `docs/ENGINE-PROTOCOL.md`.
+//! Protocol for talking to engines; see `docs/ENGINE-PROTOCOL.md`.
 //!
-//! Another wire towards engines means another [`adapter`]; nothing else changes.
+//! The wire format is confined to this module: support for another engine protocol needs another
+//! [`adapter`] and no change elsewhere.
 
 pub mod adapter;
 pub mod messages;
