--- a/crates/hatchpitch/src/evacuation/mod.rs
+++ b/crates/hatchpitch/src/evacuation/mod.rs
@@ -1,8 +1,8 @@
-//! Failure domains whose upstreams get no new work until an operator says otherwise.
+//! Evacuation of failure domains: their upstreams get no new work until an operator ends it.
 //!
-//! An evacuation is ordered in the replicated log, beside the configuration and as durable. The
-//! set of evacuated domains is small, so it travels whole: with the feed of the configuration,
-//! and with the news of upstreams that every entry box follows at several control boxes.
+//! Evacuations are committed to the replicated log, like configuration changes. The set of
+//! evacuated domains is small, so it is always sent whole: with the configuration feed, and with
+//! the upstream updates that every entry box follows at several control boxes.
 
 pub mod state;
 pub mod verify;
--- a/crates/hatchpitch/src/evacuation/state.rs
+++ b/crates/hatchpitch/src/evacuation/state.rs
@@ -1,8 +1,8 @@
-//! The evacuated failure domains, as a deterministic state machine without I/O.
+//! Set of evacuated failure domains, as a deterministic state machine without I/O.
 //!
 //! Invariants, checked by [`super::verify`]:
-//! - the revision grows with each change, and with nothing else;
-//! - a domain is evacuated or was evacuated, not both.
+//! - the revision increases with each change of the set, and only then;
+//! - no domain is listed both as evacuated and as formerly evacuated.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,25 @@
 
 use crate::ids::FailureDomainName;
 
-/// Position among all changes of the set; a larger one is newer.
+/// Revision number of the set; a larger number is newer.
 pub type Revision = u64;
 
-/// Ended evacuations that are remembered, so that boxes learn of an end whose beginning they
-/// missed: far more than a fleet has failure domains.
+/// Maximum number of ended evacuations in the set. A box that missed the begin of an evacuation
+/// still learns of its end from them. The limit is far above the number of failure domains in a
+/// fleet.
 const MAX_ENDED: usize = 256;
 
-/// What an operator asks for.
+/// Order of an operator to begin or end an evacuation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EvacuationOrder {
-    /// Send nothing more to the upstreams of a failure domain.
+    /// Send no new work to the upstreams of a failure domain.
     Begin(FailureDomainName),
-    /// Use them again.
+    /// Send work to the upstreams of a failure domain again.
     End(FailureDomainName),
 }
 
 impl EvacuationOrder {
-    /// Returns the failure domain.
+    /// Returns the failure domain that the order applies to.
     pub fn domain(&self) -> &FailureDomainName {
         match self {
             Self::Begin(domain) | Self::End(domain) => domain,
@@ -35,23 +36,23 @@
     }
 }
 
-/// The evacuated failure domains.
+/// The set of evacuated failure domains, with recently ended evacuations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
     pub(super) revision: Revision,
-    /// Evacuated domains, with the revision that began it.
+    /// Evacuated domains, with the revision at which the evacuation began.
     pub(super) begun: BTreeMap<FailureDomainName, Revision>,
-    /// Domains whose evacuation is over, with the revision that ended it.
+    /// Formerly evacuated domains, with the revision at which the evacuation ended.
     pub(super) ended: BTreeMap<FailureDomainName, Revision>,
 }
 
 impl Evacuations {
-    /// Returns the position among all changes, 0 before the first one.
+    /// Returns the revision of the set; 0 before the first change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns whether the upstreams of a domain get no new work.
+    /// Returns whether a domain is evacuated.
     pub fn is_evacuated(&self, domain: &str) -> bool {
         self.begun.contains_key(domain)
     }
@@ -66,7 +67,7 @@
         self.ended.iter().filter(move |(_, at)| **at > since).map(|(domain, _)| domain)
     }
 
-    /// Returns whether an order asks for what is already so.
+    /// Returns whether the set already is as an order requires.
     pub fn has(&self, order: &EvacuationOrder) -> bool {
         match order {
             EvacuationOrder::Begin(domain) => self.is_evacuated(domain),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Carries an order out; returns whether it changed anything.
+    /// Applies an order; returns whether it changed the set.
     pub fn apply(&mut self, order: EvacuationOrder) -> bool {
         if self.has(&order) {
             return false;
@@ -94,6 +95,7 @@
         true
     }
 
+    /// Drops the oldest ended evacuations beyond [`MAX_ENDED`].
     fn trim_ended(&mut self) {
         while self.ended.len() > MAX_ENDED {
             let oldest = self.ended.iter().min_by_key(|(_, at)| **at);
--- a/crates/hatchpitch/tests/evacuation.rs
+++ b/crates/hatchpitch/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains: the set, the log's state, and how boxes learn of changes.
+//! Tests of evacuations: the set of domains, the replicated state, and its distribution to boxes.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
     BoxClient, Handler, KeyRing, ServerLimits, SigningKey, bind, rmp_response, serve, stop_pair,
 };
 
-/// Far longer than the test takes: an answer that comes does not come because of it.
+/// Hold time of a request, far longer than a test takes, so no answer is caused by its end.
 const HOLD: Duration = Duration::from_secs(5);
 
 fn begin(domain: &str) -> EvacuationOrder {
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn what_is_already_so_changes_nothing() {
+fn order_already_in_effect_changes_nothing() {
     let mut set = Evacuations::default();
-    assert!(!set.apply(end("a")), "nothing was begun");
+    assert!(!set.apply(end("a")), "no evacuation has begun");
     assert!(set.apply(begin("a")));
     assert!(!set.apply(begin("a")));
     assert_eq!((set.revision(), set.is_evacuated("a")), (1, true));
@@ -50,18 +50,18 @@
 }
 
 #[test]
-fn domains_overlap_and_end_in_any_order() {
+fn evacuations_overlap_and_end_in_any_order() {
     let set = evacuated([begin("a"), begin("b"), begin("c"), end("b")]);
     assert_eq!(set.domains().collect::<Vec<_>>(), ["a", "c"]);
     assert_eq!(set.ended_since(3).collect::<Vec<_>>(), ["b"]);
     assert_eq!(set.ended_since(4).count(), 0);
     let again = evacuated([begin("a"), end("a"), begin("a")]);
     assert!(again.is_evacuated("a"));
-    assert_eq!(again.ended_since(0).count(), 0, "it is evacuated, whatever was before");
+    assert_eq!(again.ended_since(0).count(), 0, "an evacuated domain is not listed as ended");
 }
 
 #[test]
-fn sets_stay_sound_whatever_is_ordered() {
+fn random_orders_keep_the_invariants() {
     for seed in 0..50_u64 {
         arbtest::arbtest(|u| {
             let mut set = Evacuations::default();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_log_carries_evacuations_and_its_snapshots_keep_them() {
+fn log_applies_evacuations_and_snapshots_preserve_them() {
     let mut machine = Machine::new();
     machine.apply(Command { at: 1, order: Order::Evacuate(begin("a")) });
     machine.apply(Command { at: 2, order: Order::Evacuate(begin("a")) });
@@ -91,9 +91,9 @@
     assert_eq!(rmp_serde::from_slice::<Machine>(&bytes).unwrap(), machine);
 }
 
-/// The state of a control box of before.
+/// State of a control box as encoded before evacuations were introduced.
 #[derive(serde::Serialize)]
-struct MachineOfBefore {
+struct MachineWithoutEvacuations {
     config: ConfigState,
     claims: ClaimTable,
     document: Option<()>,
@@ -101,9 +101,14 @@
 }
 
 #[test]
-fn a_snapshot_from_before_evacuations_is_read() {
+fn snapshot_without_evacuations_decodes() {
     let claims = ClaimTable::new(ClaimsConfig::default());
-    let before = MachineOfBefore { config: ConfigState::default(), claims, document: None, now: 0 };
+    let before = MachineWithoutEvacuations {
+        config: ConfigState::default(),
+        claims,
+        document: None,
+        now: 0,
+    };
     let bytes = rmp_serde::to_vec_named(&before).unwrap();
     assert_eq!(rmp_serde::from_slice::<Machine>(&bytes).unwrap(), Machine::new());
 }
@@ -120,7 +125,7 @@
 }
 
 #[test]
-fn no_runner_of_an_evacuated_domain_is_left() {
+fn fleet_view_omits_runners_of_evacuated_domains() {
     let domain = |name: &str| {
         Entity::FailureDomain(FailureDomain { name: name.to_owned(), region: "r".to_owned() })
     };
@@ -137,8 +142,9 @@
     let change = state.prepare(&Fleet::new(1, entities), "t").unwrap();
     state.apply(change).unwrap();
     let view = FleetView::new(&state).without_evacuated(&evacuated([begin("a")]));
-    let left: Vec<&str> = view.pools[0].runners.iter().map(|runner| runner.name.as_str()).collect();
-    assert_eq!(left, ["two"]);
+    let remaining: Vec<&str> =
+        view.pools[0].runners.iter().map(|runner| runner.name.as_str()).collect();
+    assert_eq!(remaining, ["two"]);
 }
 
 fn request(evacuations: u64) -> FeedRequest {
@@ -155,21 +161,21 @@
 }
 
 #[test]
-fn a_box_that_waits_hears_of_an_evacuation_at_once() {
+fn waiting_feed_request_is_answered_on_evacuation() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let cell = ConfigCell::default();
         let req = request(0);
-        let mut waits = Box::pin(cell.answer(&req));
-        assert!(poll!(&mut waits).is_pending());
+        let mut waiting = Box::pin(cell.answer(&req));
+        assert!(poll!(&mut waiting).is_pending());
         assert!(cell.set_evacuations(&evacuated([begin("a")])));
-        let answer = waits.await;
+        let answer = waiting.await;
         assert!(answer.evacuations.unwrap().is_evacuated("a"));
-        // Older ones change nothing here, and whoever has them is told nothing.
+        // An older set has no effect, and a request that has the current revision keeps waiting.
         assert!(!cell.set_evacuations(&Evacuations::default()));
         let req = request(1);
-        let mut waits = Box::pin(cell.answer(&req));
-        assert!(poll!(&mut waits).is_pending());
+        let mut waiting = Box::pin(cell.answer(&req));
+        assert!(poll!(&mut waiting).is_pending());
     });
 }
 
@@ -178,7 +184,7 @@
 }
 
 #[test]
-fn a_follower_of_upstreams_hears_of_an_evacuation_too() {
+fn follow_request_is_answered_on_evacuation() {
     let cell = RegistryCell::new(1);
     let (before, now) = (Rc::new(Evacuations::default()), Rc::new(evacuated([begin("a")])));
     let mut req = FollowRequest {
@@ -193,8 +199,8 @@
     };
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let mut waits = Box::pin(cell.answer(&req, || in_force(&before), || true));
-        assert!(poll!(&mut waits).is_pending(), "nothing is new");
+        let mut waiting = Box::pin(cell.answer(&req, || in_force(&before), || true));
+        assert!(poll!(&mut waiting).is_pending(), "there are no changes to report");
         let answer = cell.answer(&req, || in_force(&now), || true).now_or_never();
         assert_eq!(answer.flatten().unwrap().evacuations.as_ref(), Some(&*now));
     });
@@ -206,9 +212,9 @@
     });
 }
 
-/// Serves a parent's feed on loopback, and has a child ask it once; returns whether what the child
-/// has was confirmed.
-async fn fetched(parent: Rc<ConfigCell>, child: &ConfigCell) -> bool {
+/// Serves the feed of `parent` on loopback and fetches it once for `child`; returns whether the
+/// configuration of `child` was confirmed.
+async fn fetch_once(parent: Rc<ConfigCell>, child: &ConfigCell) -> bool {
     let keys = KeyRing::new(vec![SigningKey::new("k".into(), vec![3; 32]).unwrap()]).unwrap();
     let listener = bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -225,8 +231,10 @@
     feed::fetch(&"child".to_owned(), child, &client, addr, Duration::ZERO).await
 }
 
+/// A parent whose set of evacuations is older than that of its child must not confirm the child's
+/// configuration.
 #[test]
-fn a_parent_that_missed_an_evacuation_confirms_nothing() {
+fn parent_that_missed_an_evacuation_does_not_confirm() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         for (missed, confirmed) in [(true, false), (false, true)] {
@@ -235,7 +243,7 @@
             child.set_evacuations(&newest);
             parent.set_evacuations(&if missed { evacuated([begin("a")]) } else { newest });
             parent.confirm(Instant::now());
-            assert_eq!(fetched(parent, &child).await, confirmed);
+            assert_eq!(fetch_once(parent, &child).await, confirmed);
             assert!(child.evacuations().is_evacuated("b"));
         }
     });
