--- a/crates/hatchpitch/src/quarantine/content.rs
+++ b/crates/hatchpitch/src/quarantine/content.rs
@@ -1,42 +1,42 @@
-//! Names a request by what it is, whoever sends it and however often.
+//! Content id of a request, independent of its sender and of how often it is sent.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of a digest that are kept: two contents with one name are out of reach of chance and of
-/// callers who look for them.
-const KEPT: usize = 16;
+/// Size of an id, in bytes: enough of the SHA-256 digest that neither accidental collisions nor
+/// collisions searched for by callers are practical.
+const ID_BYTES: usize = 16;
 
-/// Name of a request's content; two requests that an upstream could not tell apart but by their
-/// ids and times have one.
+/// Truncated digest of a request's content. Requests that differ for an upstream only in their ids
+/// and times have the same content id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ContentId(#[serde(with = "serde_bytes")] [u8; KEPT]);
+pub struct ContentId(#[serde(with = "serde_bytes")] [u8; ID_BYTES]);
 
 impl ContentId {
-    /// Names the content that has these parts, in this order.
+    /// Computes the id of the content that consists of `parts`, in this order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
-            // With their lengths, so that no two lists of parts run into the same bytes.
+            // The length prefix keeps different lists of parts from hashing the same bytes.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
         let digest = hash.finalize();
-        let mut kept = [0; KEPT];
-        kept.copy_from_slice(&digest[..KEPT]);
-        Self(kept)
+        let mut id = [0; ID_BYTES];
+        id.copy_from_slice(&digest[..ID_BYTES]);
+        Self(id)
     }
 }
 
 impl TryFrom<&str> for ContentId {
     type Error = &'static str;
 
-    /// Reads a name as [`fmt::Display`] writes it.
+    /// Parses an id in the format of its [`fmt::Display`] implementation.
     fn try_from(text: &str) -> Result<Self, Self::Error> {
         const EXPECTED: &str = "32 hexadecimal digits";
-        if text.len() != 2 * KEPT || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        if text.len() != 2 * ID_BYTES || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(EXPECTED);
         }
         let number = u128::from_str_radix(text, 16).map_err(|_| EXPECTED)?;
--- a/crates/hatchpitch/src/quarantine/messages.rs
+++ b/crates/hatchpitch/src/quarantine/messages.rs
@@ -1,4 +1,4 @@
-//! Messages about requests that crash upstreams.
+//! Messages about upstream crashes and the requests suspected of causing them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,89 +9,92 @@
 use crate::claims::state::LogTime;
 use crate::registry::LifeName;
 
-/// Position among all changes of a list; a larger one is newer.
+/// Revision number of a [`QuarantineList`]; a larger number is newer.
 pub type Revision = u64;
 
-/// Crashes that one message tells of: a whole failure domain lost at once, as one box sees it. A
-/// request that crashes upstreams ends one at a time.
-pub const MAX_TOLD: usize = 64;
-/// Runs of one crash that are told of: those that began last, of more than an upstream works on at
-/// once.
-pub const MAX_RUNS: usize = 32;
+/// Maximum number of crashes, and of answered contents, in one message. A box sees this many crashes
+/// when a whole failure domain is lost at once; a request that crashes upstreams does so one at a
+/// time.
+pub const MAX_REPORTED: usize = 64;
+/// Maximum number of runs reported for one crash, those that started last. It exceeds the number of
+/// requests that an upstream runs concurrently.
+pub const MAX_RUNS_PER_CRASH: usize = 32;
 
-/// A run that was under way when its upstream crashed.
+/// A request run that was in progress when its upstream crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashedRun {
-    /// What ran.
+    /// Content of the request.
     pub content: ContentId,
-    /// Time from its first sign to the crash; zero if it gave none.
+    /// Time from the first sign that the upstream ran the request to the crash; zero if there was
+    /// none.
     pub ran_for: Duration,
 }
 
-/// The crash of one life of an upstream, as one box saw it.
+/// The crash of one incarnation of an upstream, as observed by one box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The life.
+    /// Name of the crashed incarnation.
     pub life: LifeName,
-    /// The box's runs there.
+    /// Runs of the observing box that were in progress on the upstream.
     pub runs: Vec<CrashedRun>,
 }
 
-/// What one box saw.
+/// Observations of one box, as reported to the control leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Crashes.
+    /// Observed crashes.
     pub crashes: Vec<Crash>,
-    /// Contents of the list that an upstream answered to the end.
+    /// Held or watched contents that an upstream answered completely.
     pub answered: BTreeSet<ContentId>,
 }
 
 impl Evidence {
-    /// Returns whether there is nothing to tell.
+    /// Returns whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.answered.is_empty()
     }
 
-    /// Adds what was seen later, and leaves out what is beyond the bounds.
+    /// Adds later observations, and drops what exceeds the limits.
     pub fn merge(&mut self, later: Self) {
         self.crashes.extend(later.crashes);
         self.answered.extend(later.answered);
         self.bound();
     }
 
-    /// Leaves out what is beyond the bounds, the earliest first.
+    /// Drops what exceeds the limits: the earliest crashes, and in each crash the runs that started
+    /// first.
     pub fn bound(&mut self) {
-        let excess = self.crashes.len().saturating_sub(MAX_TOLD);
+        let excess = self.crashes.len().saturating_sub(MAX_REPORTED);
         self.crashes.drain(..excess);
         for crash in &mut self.crashes {
             crash.runs.sort_by_key(|run| run.ran_for);
-            crash.runs.truncate(MAX_RUNS);
+            crash.runs.truncate(MAX_RUNS_PER_CRASH);
         }
-        while self.answered.len() > MAX_TOLD {
+        while self.answered.len() > MAX_REPORTED {
             self.answered.pop_first();
         }
     }
 }
 
-/// What entry boxes have to know.
+/// List of held and watched contents that control boxes distribute to entry boxes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineList {
-    /// Position among all changes, 0 before the first one.
+    /// Revision number of the list; 0 before the first change.
     pub revision: Revision,
-    /// Contents that are refused, and until when.
+    /// Held contents, which entry boxes refuse, with the time at which the hold ends.
     pub held: BTreeMap<ContentId, LogTime>,
-    /// Contents of which an answer to the end is to be told.
+    /// Contents under suspicion, whose complete answers entry boxes report.
     pub watched: BTreeSet<ContentId>,
 }
 
 impl QuarantineList {
-    /// Returns until when a content is refused, if it is.
+    /// Returns the time until which a content is held, if it is held.
     pub fn held_until(&self, content: &ContentId) -> Option<LogTime> {
         self.held.get(content).copied()
     }
 
-    /// Returns whether an answer to a content is to be told.
-    pub fn awaits_answer(&self, content: &ContentId) -> bool {
+    /// Returns whether entry boxes report complete answers to a content.
+    pub fn wants_answer_reports(&self, content: &ContentId) -> bool {
         self.held.contains_key(content) || self.watched.contains(content)
     }
 }
--- a/crates/hatchpitch/src/quarantine/mod.rs
+++ b/crates/hatchpitch/src/quarantine/mod.rs
@@ -1,10 +1,13 @@
-//! Requests that crash what runs them: told apart from what ran beside them, and refused.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! An entry box notes the runs that broke off on an upstream and finds out whether it crashed. What
-//! it saw goes to the control leader and into the replicated log, beside the configuration and as
-//! durable, so that crashes add up over all boxes and outlast them. The list of held contents is
-//! small and travels whole, as the evacuated failure domains do: with the feed of the
-//! configuration, and with the news of upstreams that every entry box follows.
+//! Requests that crash upstreams are told apart from requests that merely ran at the same time.
+//!
+//! An entry box records the runs that are interrupted on an upstream and finds out whether the
+//! upstream crashed. It reports crashes to the control leader, which commits them to the replicated
+//! log, like configuration changes; so crashes seen by all boxes are counted together and survive
+//! the loss of a box. The list of held contents is small and is always sent whole, like the set of
+//! evacuated failure domains: with the configuration feed, and with the upstream updates that every
+//! entry box follows.
 
 pub mod content;
 pub mod messages;
--- a/crates/hatchpitch/src/quarantine/recent.rs
+++ b/crates/hatchpitch/src/quarantine/recent.rs
@@ -1,36 +1,36 @@
-//! Contents that upstreams answered of late, without I/O.
+//! Contents that upstreams answered recently, without I/O.
 //!
-//! The load that it answers: a popular request runs on many upstreams when a failure domain is
-//! lost, so that crashes of three lives speak against it at once, and once it is refused nobody can
-//! answer it any more. What was answered just before crashes nothing by itself.
+//! A popular request runs on many upstreams at the time that a failure domain is lost, so it is
+//! involved in three crashes at once and would be held; once it is refused, no answer could clear it
+//! any more. A content that was answered just before is therefore not suspected.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use super::content::ContentId;
 
-/// Time for which an answer speaks for a content: a popular one is answered many times in it, and
-/// what has come to crash upstreams since is noticed that much later.
-pub const SPEAKS_FOR: Duration = Duration::from_secs(30);
-/// Answers that are remembered, 48 bytes each: those of 30 s at 130 a second.
-pub const MAX_REMEMBERED: usize = 4_096;
+/// Time for which an answer clears its content. A popular content is answered many times in it; a
+/// content that starts to crash upstreams is detected later by this time.
+pub const ANSWER_VALIDITY: Duration = Duration::from_secs(30);
+/// Maximum number of stored answers, 48 bytes each: 30 s at 130 answers per second.
+pub const MAX_RECENT_ANSWERS: usize = 4_096;
 
-/// What one box answered of late.
+/// Contents that one box answered recently.
 #[derive(Debug, Default)]
 pub struct RecentAnswers {
     last: BTreeMap<ContentId, Instant>,
-    /// In order of time; an entry whose time is not the last one of its content is void.
+    /// Answers by time; an entry is stale if its time differs from the one in `last`.
     order: VecDeque<(ContentId, Instant)>,
 }
 
 impl RecentAnswers {
-    /// Notes an answer.
-    pub fn note(&mut self, content: ContentId, now: Instant) {
+    /// Records an answer and drops expired and excess entries.
+    pub fn record(&mut self, content: ContentId, now: Instant) {
         self.last.insert(content, now);
         self.order.push_back((content, now));
         while let Some((first, at)) = self.order.front().copied() {
-            let is_old = now.saturating_duration_since(at) >= SPEAKS_FOR;
-            if !is_old && self.order.len() <= MAX_REMEMBERED {
+            let is_old = now.saturating_duration_since(at) >= ANSWER_VALIDITY;
+            if !is_old && self.order.len() <= MAX_RECENT_ANSWERS {
                 return;
             }
             self.order.pop_front();
@@ -40,18 +40,18 @@
         }
     }
 
-    /// Returns whether a content was answered of late.
-    pub fn has(&self, content: &ContentId, now: Instant) -> bool {
+    /// Returns whether a content was answered within [`ANSWER_VALIDITY`].
+    pub fn contains(&self, content: &ContentId, now: Instant) -> bool {
         let at = self.last.get(content);
-        at.is_some_and(|at| now.saturating_duration_since(*at) < SPEAKS_FOR)
+        at.is_some_and(|at| now.saturating_duration_since(*at) < ANSWER_VALIDITY)
     }
 
-    /// Returns how many contents are remembered.
+    /// Returns the number of stored contents.
     pub fn len(&self) -> usize {
         self.last.len()
     }
 
-    /// Returns whether none is.
+    /// Returns whether no content is stored.
     pub fn is_empty(&self) -> bool {
         self.last.is_empty()
     }
--- a/crates/hatchpitch/src/quarantine/verify.rs
+++ b/crates/hatchpitch/src/quarantine/verify.rs
@@ -1,22 +1,27 @@
 //! Checks the invariants of [`Ledger`].
 
-use super::messages::MAX_RUNS;
+use super::messages::MAX_RUNS_PER_CRASH;
 use super::state::{Ledger, MAX_CRASHES, MAX_KNOWN, MAX_WATCHED};
 
-/// Checks a ledger on its own.
+/// Checks the invariants of a single state.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the invariant that is violated.
 pub fn verify(ledger: &Ledger) -> Result<(), String> {
     for (life, crash) in &ledger.crashes {
         for content in crash.runs.keys() {
             if !ledger.suspects.get(content).is_some_and(|lives| lives.contains(life)) {
-                return Err(format!("{content} ran on {life} and is no suspect of its crash"));
+                return Err(format!(
+                    "content {content} ran on {life} but is not a suspect of its crash"
+                ));
             }
         }
-        if crash.runs.len() > MAX_RUNS {
-            return Err(format!("{life} has {} runs", crash.runs.len()));
+        if crash.runs.len() > MAX_RUNS_PER_CRASH {
+            return Err(format!(
+                "crash of {life} has {} runs, more than the limit",
+                crash.runs.len()
+            ));
         }
     }
     for (content, lives) in &ledger.suspects {
@@ -24,7 +29,7 @@
             ledger.crashes.get(life).is_some_and(|crash| crash.runs.contains_key(content))
         };
         if lives.is_empty() || !lives.iter().all(ran) {
-            return Err(format!("{content} is a suspect of a crash under which it did not run"));
+            return Err(format!("content {content} is a suspect of a crash but did not run there"));
         }
     }
     if ledger.crashes.len() > MAX_CRASHES || ledger.known.len() > MAX_KNOWN {
@@ -33,27 +38,27 @@
     let list = ledger.list();
     let held = ledger.known.iter().filter(|(_, known)| known.is_held);
     if !held.map(|(content, known)| (content, &known.until)).eq(list.held.iter()) {
-        return Err("the list holds other contents".to_owned());
+        return Err("held contents of the list differ from those of the ledger".to_owned());
     }
     if list.watched.len() > MAX_WATCHED || list.watched.iter().any(|c| list.held.contains_key(c)) {
-        return Err("the list watches too many contents, or held ones".to_owned());
+        return Err("list watches too many contents, or a held content".to_owned());
     }
     Ok(())
 }
 
-/// Checks that `after` can follow `before`.
+/// Checks the invariants of a transition from `before` to `after`.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the invariant that is violated.
 pub fn verify_step(before: &Ledger, after: &Ledger) -> Result<(), String> {
     verify(after)?;
     let (old, new) = (before.list(), after.list());
     if new.revision < old.revision {
-        return Err(format!("revision went from {} to {}", old.revision, new.revision));
+        return Err(format!("revision decreased from {} to {}", old.revision, new.revision));
     }
     if new.revision == old.revision && new != old {
-        return Err(format!("the list of revision {} changed", new.revision));
+        return Err(format!("list changed without a new revision: {}", new.revision));
     }
     Ok(())
 }
