--- a/crates/hatchpitch/src/streams/mod.rs
+++ b/crates/hatchpitch/src/streams/mod.rs
@@ -1,4 +1,4 @@
-//! One answer as a stream of tokens: each once, in order, from a single generation.
+//! Delivery of one answer as a stream of tokens: exactly once, in order, from a single generation.
 
 pub mod state;
 pub mod verify;
--- a/crates/hatchpitch/src/streams/state.rs
+++ b/crates/hatchpitch/src/streams/state.rs
@@ -1,20 +1,20 @@
-//! The life of one answer as a state machine without I/O.
+//! State machine for the delivery of one answer, without I/O.
 //!
 //! Invariants, checked by [`super::verify`]:
-//! - tokens are delivered with indices 0, 1, 2, … without a gap or repetition;
-//! - all delivered tokens come from one generation: a generation is only
-//!   replaced while nothing was delivered;
-//! - a message of a closed attempt changes nothing.
+//! - tokens are delivered with indices 0, 1, 2, … without gaps or repetitions;
+//! - all delivered tokens come from one generation: a generation is replaced only before
+//!   a token was sent to the caller;
+//! - events of a closed attempt have no effect.
 
 use crate::engine::{EngineEvent, FinishReason};
 use crate::ids::{AttemptId, GenerationId, TokenIndex};
 
-/// Bounds on what is tried for one answer.
+/// Limits on retries for one answer.
 #[derive(Debug, Clone, Copy)]
 pub struct StreamLimits {
-    /// Links that are made anew to one generation without progress between.
+    /// Maximum number of consecutive reconnects to one generation without a new token.
     pub relinks: u32,
-    /// Generations that are run elsewhere before the first token.
+    /// Maximum number of reruns on another engine before the first token is delivered.
     pub reruns: u32,
 }
 
@@ -24,50 +24,50 @@
     }
 }
 
-/// Where an answer stands.
+/// Phase of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// An attempt is open.
     Open,
-    /// The caller has the whole answer.
+    /// The complete answer was delivered.
     Done,
-    /// The answer ended without being whole.
+    /// The answer failed and stays incomplete.
     Ended,
 }
 
-/// What the driver has to do next.
+/// Action that the driver of the state machine has to take next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamStep {
-    /// Pass this token to the caller.
+    /// Deliver this token to the caller.
     Deliver {
-        /// Its position.
+        /// Index of the token.
         index: TokenIndex,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// Nothing; the message was expected.
+    /// Nothing; the event was expected and needs no action.
     Nothing,
-    /// Nothing; the generation was pushed aside at its engine.
+    /// Nothing; the engine preempted the generation.
     Preempted,
-    /// Nothing; the message was late, repeated or of a closed attempt.
+    /// Nothing; the event was late, repeated or of a closed attempt, and was ignored.
     Drop,
-    /// Open a new attempt on the same generation, from this token on.
+    /// Reconnect to the same generation with a new attempt, from this token on.
     Relink {
-        /// First token wanted.
+        /// Index of the first token wanted.
         from: TokenIndex,
     },
-    /// Run a new generation elsewhere; the old one is to be cancelled.
+    /// Cancel the generation and start a new one on another engine.
     Rerun,
-    /// Tell the caller that the answer is whole.
+    /// Tell the caller that the answer is complete.
     Finish {
         /// Why the generation ended.
         reason: FinishReason,
-        /// How many tokens it has.
+        /// Number of tokens in the answer.
         tokens: u64,
     },
-    /// Tell the caller that the answer will not become whole.
+    /// Tell the caller that the answer failed and stays incomplete.
     Fail {
-        /// Why.
+        /// Reason for the failure.
         cause: String,
     },
 }
@@ -79,21 +79,22 @@
     pub(super) attempt: AttemptId,
     pub(super) next: TokenIndex,
     pub(super) phase: Phase,
-    /// Whether the caller may see tokens before the end.
-    streams: bool,
-    /// Whether the answer began at another box, so that it cannot be run anew.
-    resumed: bool,
+    /// Whether tokens are sent to the caller before the answer is complete.
+    is_streaming: bool,
+    /// Whether the answer began at another box, so that it must not be rerun.
+    is_resumed: bool,
     relinks_left: u32,
     reruns_left: u32,
     limits: StreamLimits,
 }
 
 impl StreamState {
-    /// Starts a new answer; `streams` tells whether tokens go out as they come.
+    /// Starts a new answer; `is_streaming` tells whether tokens are sent to the caller as they
+    /// arrive.
     pub fn new(
         generation: GenerationId,
         attempt: AttemptId,
-        streams: bool,
+        is_streaming: bool,
         limits: StreamLimits,
     ) -> Self {
         Self {
@@ -101,8 +102,8 @@
             attempt,
             next: 0,
             phase: Phase::Open,
-            streams,
-            resumed: false,
+            is_streaming,
+            is_resumed: false,
             relinks_left: limits.relinks,
             reruns_left: limits.reruns,
             limits,
@@ -116,30 +117,30 @@
         next: TokenIndex,
         limits: StreamLimits,
     ) -> Self {
-        Self { next, resumed: true, ..Self::new(generation, attempt, true, limits) }
+        Self { next, is_resumed: true, ..Self::new(generation, attempt, true, limits) }
     }
 
-    /// Returns the generation that the answer comes from.
+    /// Returns the id of the generation that the answer comes from.
     pub fn generation(&self) -> &str {
         &self.generation
     }
 
-    /// Returns the open attempt.
+    /// Returns the id of the open attempt.
     pub fn attempt(&self) -> &str {
         &self.attempt
     }
 
-    /// Returns the token awaited next.
+    /// Returns the index of the next expected token.
     pub fn next_index(&self) -> TokenIndex {
         self.next
     }
 
-    /// Returns where the answer stands.
+    /// Returns the phase of the answer.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Takes in an event of an engine.
+    /// Handles an event of an engine.
     pub fn on_event(&mut self, event: EngineEvent) -> StreamStep {
         if self.phase != Phase::Open || event.attempt() != self.attempt {
             return StreamStep::Drop;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Notes that the link of the open attempt broke or fell silent.
+    /// Handles the loss of the open attempt's connection, or its timeout without an event.
     pub fn on_link_lost(&mut self, cause: &str) -> StreamStep {
         if self.phase != Phase::Open {
             return StreamStep::Drop;
@@ -166,38 +167,41 @@
         StreamStep::Relink { from: self.next }
     }
 
-    /// Notes that the generation cannot be read any more.
+    /// Handles the loss of the generation: the engine died or gave it up.
     pub fn on_generation_lost(&mut self, cause: &str) -> StreamStep {
         if self.phase != Phase::Open {
             return StreamStep::Drop;
         }
-        let nothing_seen = !self.resumed && (self.next == 0 || !self.streams);
-        if nothing_seen && self.reruns_left > 0 {
+        let nothing_delivered = !self.is_resumed && (self.next == 0 || !self.is_streaming);
+        if nothing_delivered && self.reruns_left > 0 {
             self.reruns_left -= 1;
             return StreamStep::Rerun;
         }
         self.fail(cause)
     }
 
-    /// Opens a new attempt on the same generation.
+    /// Sets the new attempt on the same generation, after [`StreamStep::Relink`].
     pub fn relinked(&mut self, attempt: AttemptId) {
         self.attempt = attempt;
     }
 
-    /// Opens the first attempt on a new generation, after [`StreamStep::Rerun`].
+    /// Sets the new generation and its first attempt, after [`StreamStep::Rerun`].
     ///
     /// # Panics
     ///
-    /// Panics if the caller has seen a token: tokens of two generations are never joined.
+    /// Panics if a token was sent to the caller: tokens of two generations are never mixed.
     pub fn rerun(&mut self, generation: GenerationId, attempt: AttemptId) {
-        assert!(!self.resumed && (self.next == 0 || !self.streams), "the caller saw a token");
+        assert!(
+            !self.is_resumed && (self.next == 0 || !self.is_streaming),
+            "a token was already sent to the caller"
+        );
         self.generation = generation;
         self.attempt = attempt;
         self.next = 0;
         self.relinks_left = self.limits.relinks;
     }
 
-    /// Ends the answer because the driver cannot go on.
+    /// Fails the answer, for example because the driver cannot continue.
     pub fn fail(&mut self, cause: &str) -> StreamStep {
         self.phase = Phase::Ended;
         StreamStep::Fail { cause: cause.to_owned() }
--- a/crates/hatchpitch/src/streams/verify.rs
+++ b/crates/hatchpitch/src/streams/verify.rs
@@ -1,9 +1,9 @@
-//! Checks what a caller saw of one answer.
+//! Checks the invariants of the steps of one answer.
 
 use super::state::StreamStep;
 use crate::ids::GenerationId;
 
-/// Follows the steps of one answer and checks them against its invariants.
+/// Records the steps of one answer and checks each against the invariants.
 #[derive(Debug, Default)]
 pub struct StreamVerifier {
     delivered: Vec<(GenerationId, String)>,
@@ -11,11 +11,11 @@
 }
 
 impl StreamVerifier {
-    /// Takes in the next step and the generation it belongs to.
+    /// Records the next step, which belongs to `generation`.
     ///
     /// # Errors
     ///
-    /// Returns the invariant that does not hold.
+    /// Returns a description of the invariant that is violated.
     pub fn observe(&mut self, generation: &str, step: &StreamStep) -> Result<(), String> {
         match step {
             StreamStep::Deliver { index, text } => self.deliver(generation, *index, text),
@@ -26,7 +26,7 @@
                 Err(format!("finished with {} of {tokens} tokens", self.delivered.len()))
             }
             StreamStep::Finish { .. } | StreamStep::Fail { .. } if self.ended => {
-                Err("ended twice".to_owned())
+                Err("answer ended twice".to_owned())
             }
             StreamStep::Finish { .. } | StreamStep::Fail { .. } => {
                 self.ended = true;
@@ -36,20 +36,23 @@
         }
     }
 
-    /// Returns the texts delivered so far.
+    /// Returns the texts of the tokens delivered so far.
     pub fn texts(&self) -> impl Iterator<Item = &str> {
         self.delivered.iter().map(|(_, text)| text.as_str())
     }
 
     fn deliver(&mut self, generation: &str, index: u64, text: &str) -> Result<(), String> {
         if self.ended {
-            return Err("a token after the end".to_owned());
+            return Err("token delivered after the end of the answer".to_owned());
         }
         if index != self.delivered.len() as u64 {
-            return Err(format!("token {index} delivered as number {}", self.delivered.len()));
+            return Err(format!(
+                "token {index} delivered, expected token {}",
+                self.delivered.len()
+            ));
         }
         if self.delivered.last().is_some_and(|(last, _)| last != generation) {
-            return Err("tokens of two generations were joined".to_owned());
+            return Err("answer contains tokens of two generations".to_owned());
         }
         self.delivered.push((generation.to_owned(), text.to_owned()));
         Ok(())
