--- a/crates/hatchpitch/tests/cases/claims.rs
+++ b/crates/hatchpitch/tests/cases/claims.rs
@@ -1,4 +1,4 @@
-//! Drives a [`ClaimTable`] by a case file, under its verifier.
+//! Runs a case file on a [`ClaimTable`], and verifies the table after each input.
 
 use std::time::Duration;
 
@@ -10,6 +10,7 @@
 
 use super::file::{Case, words};
 
+/// Runs a case and returns the output of each input.
 pub fn run(case: &Case) -> Vec<Vec<String>> {
     let keep = Duration::from_millis(1_000);
     let cfg = ClaimsConfig { per_workspace: 3, max_answer: 8, keep };
@@ -24,7 +25,8 @@
     outputs
 }
 
-/// `claim AT KEY CONTENT ATTEMPT` or `settle AT KEY ATTEMPT done ANSWER|not-run|unknown`.
+/// Applies one input: `claim AT KEY CONTENT ATTEMPT`,
+/// `settle AT KEY ATTEMPT done ANSWER|not-run|unknown`, or `held` for the number of claims.
 fn apply(table: &mut ClaimTable, words: &[&str]) -> Vec<String> {
     match *words {
         ["claim", at, key, content, attempt] => {
@@ -36,12 +38,12 @@
             };
             vec![show(&table.claim(&req, at.parse().unwrap()))]
         }
-        ["settle", at, key, attempt, ref how @ ..] => {
-            let settlement = match *how {
-                ["done", answer] => Settlement::Done(kept(answer)),
+        ["settle", at, key, attempt, ref result @ ..] => {
+            let settlement = match *result {
+                ["done", answer] => Settlement::Done(kept_answer(answer)),
                 ["not-run"] => Settlement::NotRun,
                 ["unknown"] => Settlement::Unknown,
-                _ => panic!("unknown settlement {how:?}"),
+                _ => panic!("unknown settlement {result:?}"),
             };
             let req = SettleRequest { id: id(key), attempt: attempt.to_owned(), settlement };
             table.settle(&req, at.parse().unwrap());
@@ -56,7 +58,7 @@
     ClaimId { workspace: "w".to_owned(), key: key.to_owned() }
 }
 
-fn kept(answer: &str) -> KeptAnswer {
+fn kept_answer(answer: &str) -> KeptAnswer {
     let body = Some(answer.as_bytes().to_vec());
     KeptAnswer { status: 200, content_type: "text/plain".to_owned(), body }
 }
--- a/crates/hatchpitch/tests/cases/config.rs
+++ b/crates/hatchpitch/tests/cases/config.rs
@@ -1,31 +1,32 @@
-//! Drives the configuration of a leader and of a box that follows it.
+//! Runs a case file on the configuration of a leader and of a box that follows it.
 
 use hatchpitch::config::verify::{verify, verify_step};
 use hatchpitch::config::{ApplyOutcome, ConfigState, Fleet, load_fleet};
 
 use super::file::{Case, words};
 
-struct World {
+struct Fixture {
     leader: ConfigState,
-    /// A box that follows.
+    /// State of the box that follows the leader.
     follower: ConfigState,
-    /// An answer that is still on its way to it.
-    late: Option<ConfigState>,
+    /// Leader state of an answer that is still in flight to the follower.
+    delayed: Option<ConfigState>,
 }
 
+/// Runs a case and returns the output of each input.
 pub fn run(case: &Case) -> Vec<Vec<String>> {
-    let mut world =
-        World { leader: ConfigState::default(), follower: ConfigState::default(), late: None };
+    let mut fixture =
+        Fixture { leader: ConfigState::default(), follower: ConfigState::default(), delayed: None };
     let mut outputs = Vec::new();
     for exchange in &case.exchanges {
         let words = words(&exchange.input);
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        let (leader, follower) = (world.leader.clone(), world.follower.clone());
-        outputs.push(apply(&mut world, &words));
-        let steps = [(&leader, &world.leader), (&follower, &world.follower)];
+        let (leader, follower) = (fixture.leader.clone(), fixture.follower.clone());
+        outputs.push(apply(&mut fixture, &words));
+        let steps = [(&leader, &fixture.leader), (&follower, &fixture.follower)];
         for (before, after) in steps {
             verify(after).unwrap_or_else(|err| panic!("{}: {err}", case.name));
-            if words[0] != "lose" {
+            if words[0] != "reset" {
                 verify_step(before, after).unwrap_or_else(|err| panic!("{}: {err}", case.name));
             }
         }
@@ -33,38 +34,45 @@
     outputs
 }
 
-/// `submit NUMBER DOMAINS BY`, `race NUMBER DOMAINS DOMAINS`, `follow`, `hold`, `arrive`, `lose`, `entities`.
-fn apply(world: &mut World, words: &[&str]) -> Vec<String> {
+/// Applies one input:
+/// - `submit NUMBER DOMAINS BY` submits a configuration to the leader;
+/// - `race NUMBER DOMAINS DOMAINS` submits two with the same number concurrently;
+/// - `follow` sends the changes of the leader to the follower;
+/// - `delay` keeps the current answer of the leader in flight, `deliver` delivers it;
+/// - `restore` encodes and decodes the leader's state, as a restart does;
+/// - `reset` clears the follower's state;
+/// - `entities` returns the number of entities of the follower.
+fn apply(fixture: &mut Fixture, words: &[&str]) -> Vec<String> {
     match *words {
-        ["submit", number, domains, by] => vec![submit(&mut world.leader, number, domains, by)],
+        ["submit", number, domains, by] => vec![submit(&mut fixture.leader, number, domains, by)],
         ["race", number, first, second] => {
-            // Both are prepared against the same state before either is applied.
-            let changes = [first, second].map(|d| world.leader.prepare(&fleet(number, d), d));
+            // Both changes are prepared against the same state before either is applied.
+            let changes = [first, second].map(|d| fixture.leader.prepare(&fleet(number, d), d));
             let applied = changes.map(|change| match change {
-                Ok(change) => world.leader.apply(change),
+                Ok(change) => fixture.leader.apply(change),
                 Err(outcome) => Some(outcome),
             });
             applied.iter().map(|o| o.as_ref().map_or("again".to_owned(), show)).collect()
         }
-        ["follow"] => vec![follow(&mut world.follower, &world.leader)],
-        ["hold"] => {
-            world.late = Some(world.leader.clone());
+        ["follow"] => vec![follow(&mut fixture.follower, &fixture.leader)],
+        ["delay"] => {
+            fixture.delayed = Some(fixture.leader.clone());
             Vec::new()
         }
-        ["arrive"] => {
-            let late = world.late.take().unwrap();
-            vec![follow(&mut world.follower, &late)]
+        ["deliver"] => {
+            let delayed = fixture.delayed.take().unwrap();
+            vec![follow(&mut fixture.follower, &delayed)]
         }
         ["restore"] => {
-            let bytes = rmp_serde::to_vec_named(&world.leader).unwrap();
-            world.leader = rmp_serde::from_slice(&bytes).unwrap();
+            let bytes = rmp_serde::to_vec_named(&fixture.leader).unwrap();
+            fixture.leader = rmp_serde::from_slice(&bytes).unwrap();
             Vec::new()
         }
-        ["lose"] => {
-            world.follower = ConfigState::default();
+        ["reset"] => {
+            fixture.follower = ConfigState::default();
             Vec::new()
         }
-        ["entities"] => vec![world.follower.entities().count().to_string()],
+        ["entities"] => vec![fixture.follower.entities().count().to_string()],
         _ => panic!("unknown input {words:?}"),
     }
 }
@@ -93,7 +101,8 @@
     }
 }
 
-/// A fleet with the failure domains `a+b+c`; `a@x` lies in region `x`.
+/// Returns a fleet with the given failure domains, such as `a+b+c`; `a@x` is domain `a` in region
+/// `x`, and `none` is no domain.
 fn fleet(number: &str, domains: &str) -> Fleet {
     let mut text = format!("number = {number}\n");
     for domain in domains.split('+').filter(|d| *d != "none") {
--- a/crates/hatchpitch/tests/cases/main.rs
+++ b/crates/hatchpitch/tests/cases/main.rs
@@ -1,8 +1,8 @@
-//! Text-driven cases of the state machines: one case a file, expectations beside the input.
+//! Data-driven tests of the state machines, with one case per file.
 //!
-//! A file begins with `machine`, `step` and `fault`; the last two name the
-//! cell of the fault matrix that it covers. Lines after `> ` go into the
-//! machine; the lines below them are what has to come out.
+//! A case file starts with the headers `machine`, `step` and `fault`; `step` and `fault` name the
+//! cell of the fault matrix that the case covers. A line that starts with `> ` is an input to the
+//! machine; the lines below it are the expected output.
 
 mod claims;
 mod config;
@@ -13,19 +13,19 @@
 use file::Case;
 
 #[test]
-fn every_case_has_the_outcome_written_beside_it() {
+fn every_case_produces_its_expected_output() {
     let cases = Case::load_all();
     assert!(cases.len() >= 30, "only {} cases were found", cases.len());
     let mut failed = Vec::new();
     for case in &cases {
-        let got = match case.machine.as_str() {
+        let actual = match case.machine.as_str() {
             "stream" => stream::run(case),
             "claims" => claims::run(case),
             "config" => config::run(case),
             other => panic!("{}: unknown machine {other}", case.name),
         };
-        if got != case.expected() {
-            failed.push(format!("{}:\n{}", case.name, case.difference(&got)));
+        if actual != case.expected() {
+            failed.push(format!("{}:\n{}", case.name, case.difference(&actual)));
         }
     }
     assert!(
--- a/crates/hatchpitch/tests/cases/stream.rs
+++ b/crates/hatchpitch/tests/cases/stream.rs
@@ -1,4 +1,4 @@
-//! Drives a [`StreamState`] by a case file, under its verifier.
+//! Runs a case file on a [`StreamState`], and verifies each step with a [`StreamVerifier`].
 
 use hatchpitch::engine::{EngineEvent, FinishReason};
 use hatchpitch::streams::verify::StreamVerifier;
@@ -6,11 +6,13 @@
 
 use super::file::{Case, words};
 
+/// Runs a case and returns the output of each input.
 pub fn run(case: &Case) -> Vec<Vec<String>> {
     let limits = StreamLimits { relinks: 2, reruns: 1 };
     let mut state = StreamState::new("g1".into(), "a1".into(), true, limits);
     let mut verifier = StreamVerifier::default();
-    let mut resumed = false;
+    // The verifier expects streamed tokens from index 0 on.
+    let mut skips_verifier = false;
     let mut outputs = Vec::new();
     for exchange in &case.exchanges {
         let words = words(&exchange.input);
@@ -18,12 +20,12 @@
         let step = match words.as_slice() {
             ["whole"] => {
                 state = StreamState::new("g1".into(), "a1".into(), false, limits);
-                resumed = true;
+                skips_verifier = true;
                 None
             }
             ["resume", next] => {
                 state = StreamState::resume("g1".into(), "a1".into(), number(next), limits);
-                resumed = true;
+                skips_verifier = true;
                 None
             }
             ["relinked", attempt] => {
@@ -39,7 +41,7 @@
             event => Some(state.on_event(parse(event))),
         };
         if let Some(step) = &step
-            && !resumed
+            && !skips_verifier
         {
             verifier.observe(state.generation(), step).unwrap_or_else(|err| {
                 panic!("{}: {err}", case.name);
@@ -50,6 +52,7 @@
     outputs
 }
 
+/// Parses an event of an engine: its kind, the attempt and the fields of the event.
 fn parse(words: &[&str]) -> EngineEvent {
     match *words {
         ["token", attempt, index, text] => EngineEvent::Token {
