--- a/crates/hatchpitch/src/control/boxes.rs
+++ b/crates/hatchpitch/src/control/boxes.rs
@@ -121,7 +121,7 @@
             }
             EVIDENCE_PATH => {
                 let mut evidence = self.open::<Evidence>()?;
-                evidence.bound();
+                evidence.enforce_limits();
                 self.ordered(Order::Crashes(evidence), |_| ()).await
             }
             _ => Err(Box::new(text_response(StatusCode::NOT_FOUND, "no such path"))),
--- a/crates/hatchpitch/src/control/evacuate.rs
+++ b/crates/hatchpitch/src/control/evacuate.rs
@@ -40,7 +40,7 @@
     if !cx.knows_domain(domain) && !cx.with_machine(|m| m.evacuations.is_evacuated(domain)) {
         return Err(EvacuateError::UnknownDomain(domain.clone()));
     }
-    let holds = || cx.with_machine(|m| m.evacuations.has(&order));
+    let holds = || cx.with_machine(|m| m.evacuations.is_in_effect(&order));
     if holds() {
         // This box may have lost the lead, and another order may have come between.
         cx.propose(Order::Read).await?;
--- a/crates/hatchpitch/src/control/machine.rs
+++ b/crates/hatchpitch/src/control/machine.rs
@@ -104,7 +104,7 @@
                 Reply::Evacuated
             }
             Order::Crashes(evidence) => {
-                self.quarantine.take(evidence, self.now);
+                self.quarantine.apply(evidence, self.now);
                 Reply::Noted
             }
         }
--- a/crates/hatchpitch/src/engine/adapter.rs
+++ b/crates/hatchpitch/src/engine/adapter.rs
@@ -136,7 +136,7 @@
 
 /// Parameters for resuming the stream of a generation.
 #[derive(Debug, Clone, Copy)]
-pub struct Link<'a> {
+pub struct ResumeRequest<'a> {
     /// The generation.
     pub generation: &'a str,
     /// Id of the new attempt, which every event of the stream carries.
@@ -155,11 +155,11 @@
 /// the generation.
 pub async fn resume(
     upstream: &Upstream,
-    link: Link<'_>,
+    resume_req: ResumeRequest<'_>,
     head_timeout: Duration,
     on_head: OnHead<'_>,
 ) -> Result<EventReader, EngineError> {
-    let Link { generation, attempt, from, traceparent } = link;
+    let ResumeRequest { generation, attempt, from, traceparent } = resume_req;
     let path = format!("/v1/generations/{generation}?attempt={attempt}&from={from}");
     let req = request(Method::GET, upstream, &path, traceparent, Body::empty());
     open_stream(upstream, req, head_timeout, on_head).await
@@ -253,7 +253,7 @@
     on_head: OnHead<'_>,
 ) -> Result<EventReader, EngineError> {
     let res = upstream.send(req, head_timeout).await.map_err(EngineError::Send)?;
-    on_head(signals(&res));
+    on_head(head_signals(&res));
     if res.status() == StatusCode::OK {
         return Ok(EventReader { body: res.into_body(), buf: BytesMut::new() });
     }
@@ -261,7 +261,7 @@
 }
 
 /// Returns the signals about its upstream in a response head.
-pub fn signals(res: &Response<Incoming>) -> HeadSignals {
+pub fn head_signals(res: &Response<Incoming>) -> HeadSignals {
     HeadSignals::read(&HEAD_NAMES, res.status(), res.headers())
 }
 
@@ -272,7 +272,7 @@
     on_head: OnHead<'_>,
 ) -> Result<Bytes, EngineError> {
     let res = upstream.send(req, CALL_TIMEOUT).await.map_err(EngineError::Send)?;
-    on_head(signals(&res));
+    on_head(head_signals(&res));
     let status = res.status();
     if !status.is_success() {
         return Err(read_refusal(status, res.into_body()).await);
--- a/crates/hatchpitch/src/entry/apps.rs
+++ b/crates/hatchpitch/src/entry/apps.rs
@@ -18,12 +18,12 @@
 use crate::config::view::{FleetView, ServiceView};
 use crate::config::{ServiceUpstream, Workspace};
 use crate::dispatch::line::RESTING;
-use crate::engine::adapter::signals;
+use crate::engine::adapter::head_signals;
 use crate::ids::{Digest, Priority, new_id};
 use crate::metrics::Count;
 use crate::outcome::{OUTCOME_HEADER, Outcome, Problem};
 use crate::quarantine::ContentId;
-use crate::quarantine::observer::{self, RunPlace};
+use crate::quarantine::observer::{self, RunLocation};
 use crate::trace::{Span, TRACEPARENT};
 use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
@@ -282,13 +282,13 @@
         span.note("upstream", &upstream.name);
         let sent = self.exchange(upstream, &span.traceparent()).await;
         match &sent {
-            Ok(answer) if answer.is_framed => observer::note_answer(&self.cx, self.content),
+            Ok(answer) if answer.is_framed => observer::record_answer(&self.cx, self.content),
             Ok(_) => {}
             Err(failure) => {
                 span.note("error", &failure.cause);
                 if failure.ran {
-                    let place = RunPlace { upstream: &upstream.name, addr: upstream.addr };
-                    observer::note_break(&self.cx, place, self.content, None);
+                    let place = RunLocation { upstream: &upstream.name, addr: upstream.addr };
+                    observer::record_interruption(&self.cx, place, self.content, None);
                 }
             }
         }
@@ -305,7 +305,7 @@
         let timeout = self.service.service.timeout;
         let sent_at = clock::now();
         let res = self.cx.upstream(addr).send(req, timeout).await.map_err(AppFailure::from)?;
-        upstream_heads::note(&self.cx, &upstream.name, signals(&res), sent_at);
+        upstream_heads::note(&self.cx, &upstream.name, head_signals(&res), sent_at);
         let status = res.status();
         let plain = || HeaderValue::from_static("application/octet-stream");
         let content_type = res.headers().get(header::CONTENT_TYPE).cloned().unwrap_or_else(plain);
--- a/crates/hatchpitch/src/entry/generation.rs
+++ b/crates/hatchpitch/src/entry/generation.rs
@@ -14,7 +14,7 @@
 use crate::metrics::{Count, STALL_THRESHOLD, Timing};
 use crate::outcome::Problem;
 use crate::quarantine::ContentId;
-use crate::quarantine::observer::{self, RunPlace};
+use crate::quarantine::observer::{self, RunLocation};
 use crate::routing::Verdict;
 use crate::streams::{Phase, StreamLimits, StreamState, StreamStep};
 use crate::trace::Span;
@@ -341,7 +341,8 @@
             upstream_heads::await_rest(&self.cx, &self.runner, head_timeout).await;
             let may_send = upstream_heads::obtain_in_advance(&self.cx, &self.runner).await;
             let on_head = self.on_head();
-            let link = adapter::Link { generation: id, attempt, from, traceparent: &trace };
+            let link =
+                adapter::ResumeRequest { generation: id, attempt, from, traceparent: &trace };
             let opened = match may_send {
                 Ok(()) => adapter::resume(&self.upstream, link, head_timeout, &on_head).await,
                 Err(cause) => Err(EngineError::Closed(cause)),
@@ -423,8 +424,8 @@
     /// Notes that the runner broke the answer off.
     fn note_break(&self) {
         let Some(content) = self.content else { return };
-        let place = RunPlace { upstream: &self.runner, addr: self.upstream.addr };
-        observer::note_break(&self.cx, place, content, self.begun);
+        let place = RunLocation { upstream: &self.runner, addr: self.upstream.addr };
+        observer::record_interruption(&self.cx, place, content, self.begun);
     }
 
     fn runner_failed(&mut self) {
@@ -455,7 +456,7 @@
     fn note_finish(&mut self, tokens: u64) {
         self.cx.metrics.count(Count::Done, &self.job.pool);
         if let Some(content) = self.content {
-            observer::note_answer(&self.cx, content);
+            observer::record_answer(&self.cx, content);
         }
         self.span.note("tokens", tokens);
         if let Some(slot) = self.slot.as_mut() {
--- a/crates/hatchpitch/src/evacuation/state.rs
+++ b/crates/hatchpitch/src/evacuation/state.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns whether the set already is as an order requires.
-    pub fn has(&self, order: &EvacuationOrder) -> bool {
+    pub fn is_in_effect(&self, order: &EvacuationOrder) -> bool {
         match order {
             EvacuationOrder::Begin(domain) => self.is_evacuated(domain),
             EvacuationOrder::End(domain) => !self.is_evacuated(domain),
@@ -77,7 +77,7 @@
 
     /// Applies an order; returns whether it changed the set.
     pub fn apply(&mut self, order: EvacuationOrder) -> bool {
-        if self.has(&order) {
+        if self.is_in_effect(&order) {
             return false;
         }
         self.revision += 1;
--- a/crates/hatchpitch/src/quarantine/messages.rs
+++ b/crates/hatchpitch/src/quarantine/messages.rs
@@ -58,12 +58,12 @@
     pub fn merge(&mut self, later: Self) {
         self.crashes.extend(later.crashes);
         self.answered.extend(later.answered);
-        self.bound();
+        self.enforce_limits();
     }
 
     /// Drops what exceeds the limits: the earliest crashes, and in each crash the runs that started
     /// first.
-    pub fn bound(&mut self) {
+    pub fn enforce_limits(&mut self) {
         let excess = self.crashes.len().saturating_sub(MAX_REPORTED);
         self.crashes.drain(..excess);
         for crash in &mut self.crashes {
--- a/crates/hatchpitch/src/quarantine/observer.rs
+++ b/crates/hatchpitch/src/quarantine/observer.rs
@@ -53,7 +53,7 @@
 
 /// The upstream that a run was in progress on.
 #[derive(Debug, Clone, Copy)]
-pub struct RunPlace<'a> {
+pub struct RunLocation<'a> {
     /// Name of the incarnation if the upstream announced itself, else its name in the fleet file,
     /// which stays the same after a restart.
     pub upstream: &'a str,
@@ -111,13 +111,13 @@
 
 /// Records that a run was interrupted, and starts to investigate its upstream. `begun` is the time
 /// of the first sign that the upstream ran the request.
-pub fn note_break(
+pub fn record_interruption(
     cx: &Rc<EntryCx>,
-    place: RunPlace<'_>,
+    location: RunLocation<'_>,
     content: ContentId,
     begun: Option<Instant>,
 ) {
-    if is_leaving(cx, place.upstream) {
+    if is_leaving(cx, location.upstream) {
         // A leaving upstream interrupts the runs that it cannot finish; that is no crash.
         return;
     }
@@ -126,7 +126,7 @@
     }
     let run = CrashedRun { content, ran_for: begun.map(clock::since).unwrap_or_default() };
     let mut interrupted = cx.quarantine.interrupted.borrow_mut();
-    if let Some(runs) = interrupted.get_mut(place.upstream) {
+    if let Some(runs) = interrupted.get_mut(location.upstream) {
         if runs.len() < MAX_RUNS_PER_CRASH {
             runs.push(run);
         }
@@ -135,13 +135,13 @@
     if interrupted.len() >= MAX_INVESTIGATED {
         return;
     }
-    interrupted.insert(place.upstream.to_owned(), vec![run]);
-    let (cx, upstream, addr) = (cx.clone(), place.upstream.to_owned(), place.addr);
+    interrupted.insert(location.upstream.to_owned(), vec![run]);
+    let (cx, upstream, addr) = (cx.clone(), location.upstream.to_owned(), location.addr);
     compio::runtime::spawn(async move { investigate(&cx, upstream, addr).await }).detach();
 }
 
 /// Records that an upstream answered a content completely, and reports it if required.
-pub fn note_answer(cx: &Rc<EntryCx>, content: ContentId) {
+pub fn record_answer(cx: &Rc<EntryCx>, content: ContentId) {
     cx.quarantine.recent.borrow_mut().record(content, clock::now());
     let is_tracked_locally = cx.quarantine.local.borrow().list().wants_answer_reports(&content);
     if is_tracked_locally || cx.config.quarantine().wants_answer_reports(&content) {
@@ -221,7 +221,7 @@
 /// Applies evidence to the ledger of this box and queues it for the control leader.
 fn submit(cx: &Rc<EntryCx>, evidence: Evidence) {
     let observer = &cx.quarantine;
-    observer.local.borrow_mut().take(evidence.clone(), unix_ms());
+    observer.local.borrow_mut().apply(evidence.clone(), unix_ms());
     observer.unreported.borrow_mut().merge(evidence);
     if observer.is_reporting.replace(true) {
         return;
--- a/crates/hatchpitch/src/quarantine/state.rs
+++ b/crates/hatchpitch/src/quarantine/state.rs
@@ -101,9 +101,9 @@
     }
 
     /// Applies the observations of a box. Repeated evidence has no further effect.
-    pub fn take(&mut self, mut evidence: Evidence, now: LogTime) {
+    pub fn apply(&mut self, mut evidence: Evidence, now: LogTime) {
         self.expire(now);
-        evidence.bound();
+        evidence.enforce_limits();
         self.update_list(|ledger| {
             for content in &evidence.answered {
                 ledger.clear(content);
--- a/crates/hatchpitch/src/relay/answer.rs
+++ b/crates/hatchpitch/src/relay/answer.rs
@@ -13,7 +13,7 @@
 use super::run::Relay;
 use super::stream::BUFFERED_PIECES;
 use crate::grants::Slot;
-use crate::quarantine::observer::{self, RunPlace};
+use crate::quarantine::observer::{self, RunLocation};
 use crate::routing::Verdict;
 
 /// Makes the caller's answer out of an upstream's, with the length known.
@@ -49,14 +49,14 @@
             Ok(Ok(())) => {
                 slot.finish(Verdict::Succeeded, None);
                 if is_framed {
-                    observer::note_answer(&cx, content);
+                    observer::record_answer(&cx, content);
                 }
             }
             Ok(Err(err)) => {
                 log::info!(upstream = slot.runner.as_str(); "large answer not passed on: {err}");
                 // A caller that left is told apart by the look at the upstream, which then serves.
-                let place = RunPlace { upstream: &slot.runner, addr: slot.addr };
-                observer::note_break(&cx, place, content, None);
+                let place = RunLocation { upstream: &slot.runner, addr: slot.addr };
+                observer::record_interruption(&cx, place, content, None);
                 tx.abort();
             }
             Err(_) => tx.abort(),
--- a/crates/hatchpitch/src/relay/run.rs
+++ b/crates/hatchpitch/src/relay/run.rs
@@ -25,7 +25,7 @@
 use crate::metrics::{Count, Timing};
 use crate::outcome::{Outcome, Problem};
 use crate::quarantine::ContentId;
-use crate::quarantine::observer::{self, RunPlace};
+use crate::quarantine::observer::{self, RunLocation};
 use crate::routing::Verdict;
 use crate::upstream_heads::task as upstream_heads;
 
@@ -230,8 +230,8 @@
 
     /// Notes that an upstream broke its run off.
     fn note_break(&self, slot: &Slot) {
-        let place = RunPlace { upstream: &slot.runner, addr: slot.addr };
-        observer::note_break(&self.relay.cx, place, self.content, None);
+        let place = RunLocation { upstream: &slot.runner, addr: slot.addr };
+        observer::record_interruption(&self.relay.cx, place, self.content, None);
     }
 
     /// Decides what follows a try without the final answer.
@@ -475,7 +475,7 @@
             }
         }
         if is_framed {
-            observer::note_answer(&self.relay.cx, self.content);
+            observer::record_answer(&self.relay.cx, self.content);
         }
         let failed = parts.status.is_server_error();
         slot.finish(if failed { Verdict::Released } else { Verdict::Succeeded }, None);
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -23,7 +23,7 @@
 use crate::moves::mover::Moving;
 use crate::moves::{self, Leaver, MoveEnd, Moved};
 use crate::quarantine::ContentId;
-use crate::quarantine::observer::{self, RunPlace};
+use crate::quarantine::observer::{self, RunLocation};
 use crate::registry::Phase;
 use crate::routing::Verdict;
 use crate::upstream_heads::task as upstream_heads;
@@ -222,7 +222,7 @@
     /// Ends the stream as its last link ended.
     async fn finish_link(&mut self, closed: End, tx: &mut BodySender) -> End {
         match &closed {
-            End::Whole if self.is_framed => observer::note_answer(&self.relay.cx, self.content),
+            End::Whole if self.is_framed => observer::record_answer(&self.relay.cx, self.content),
             End::Broken(_) => self.note_break(Some(self.begun)),
             _ => {}
         }
@@ -237,8 +237,8 @@
 
     /// Notes that the runner broke its run off, which began there at `begun` if it gave a sign.
     fn note_break(&self, begun: Option<Instant>) {
-        let place = RunPlace { upstream: &self.slot.runner, addr: self.slot.addr };
-        observer::note_break(&self.relay.cx, place, self.content, begun);
+        let place = RunLocation { upstream: &self.slot.runner, addr: self.slot.addr };
+        observer::record_interruption(&self.relay.cx, place, self.content, begun);
     }
 
     /// Begins a move once the runner leaves, and takes note of one that came to nothing.
--- a/crates/hatchpitch/tests/evacuation.rs
+++ b/crates/hatchpitch/tests/evacuation.rs
@@ -72,7 +72,7 @@
                 let changed = set.apply(order.clone());
                 verify_step(&before, &set).unwrap();
                 assert_eq!(changed, set.revision() > before.revision());
-                assert!(set.has(&order));
+                assert!(set.is_in_effect(&order));
             }
             Ok(())
         })
--- a/crates/hatchpitch/tests/quarantine.rs
+++ b/crates/hatchpitch/tests/quarantine.rs
@@ -51,10 +51,10 @@
     }
 
     /// Advances the time by a second and applies evidence.
-    fn take(&mut self, evidence: Evidence) {
+    fn apply(&mut self, evidence: Evidence) {
         self.pass(Duration::from_secs(1));
         let before = self.ledger.clone();
-        self.ledger.take(evidence, self.now);
+        self.ledger.apply(evidence, self.now);
         verify_step(&before, &self.ledger).unwrap();
     }
 
@@ -75,14 +75,14 @@
 fn third_crash_reported_by_any_box_holds_the_request() {
     let mut checked = Checked::new();
     for life in ["i-1", "i-2"] {
-        checked.take(crash(life, &[("poison", 80)]));
+        checked.apply(crash(life, &[("poison", 80)]));
         assert!(!checked.holds("poison"), "{life}");
     }
     // The same crash, reported again after a lost reply and by another box, counts once.
-    checked.take(crash("i-2", &[("poison", 95)]));
-    checked.take(crash("i-2", &[("poison", 80)]));
+    checked.apply(crash("i-2", &[("poison", 95)]));
+    checked.apply(crash("i-2", &[("poison", 80)]));
     assert!(!checked.holds("poison"));
-    checked.take(crash("i-3", &[("poison", 0)]));
+    checked.apply(crash("i-3", &[("poison", 0)]));
     assert!(checked.holds("poison"));
 }
 
@@ -98,8 +98,8 @@
             let neighbours_first = order >> (life.len() % 3) & 1 == 1;
             let (first, second) =
                 if neighbours_first { (neighbours, poison) } else { (poison, neighbours) };
-            checked.take(first);
-            checked.take(second);
+            checked.apply(first);
+            checked.apply(second);
         }
         assert!(
             checked.holds("poison") && !checked.holds("long") && !checked.holds("popular"),
@@ -114,7 +114,7 @@
     for n in 0..6 {
         assert!(!checked.holds("late"), "{n}");
         // Other requests start all the time, each of them only once.
-        checked.take(crash(&format!("i-{n}"), &[("late", 5_000), (&format!("once-{n}"), 30)]));
+        checked.apply(crash(&format!("i-{n}"), &[("late", 5_000), (&format!("once-{n}"), 30)]));
     }
     assert!(checked.holds("late"));
     assert_eq!(checked.ledger.list().held.len(), 1);
@@ -124,11 +124,11 @@
 fn neighbour_reported_first_is_released_once_the_cause_is_known() {
     let mut checked = Checked::new();
     for life in ["i-1", "i-2", "i-3"] {
-        checked.take(crash(life, &[("beside", 500)]));
+        checked.apply(crash(life, &[("beside", 500)]));
     }
     assert!(checked.holds("beside"), "no other suspect is known yet");
     for life in ["i-1", "i-2", "i-3"] {
-        checked.take(crash(life, &[("poison", 50)]));
+        checked.apply(crash(life, &[("poison", 50)]));
     }
     assert!(checked.holds("poison") && !checked.holds("beside"));
 }
@@ -136,19 +136,19 @@
 #[test]
 fn answer_clears_suspected_and_held_contents() {
     let mut checked = Checked::new();
-    checked.take(crash("i-1", &[("hot", 100)]));
-    checked.take(crash("i-2", &[("hot", 100)]));
+    checked.apply(crash("i-1", &[("hot", 100)]));
+    checked.apply(crash("i-2", &[("hot", 100)]));
     assert!(
         checked.ledger.list().wants_answer_reports(&content("hot")),
         "boxes report its answers from here on"
     );
-    checked.take(answered("hot"));
-    checked.take(crash("i-3", &[("hot", 100)]));
+    checked.apply(answered("hot"));
+    checked.apply(crash("i-3", &[("hot", 100)]));
     assert!(!checked.holds("hot"));
-    checked.take(crash("i-4", &[("hot", 100)]));
-    checked.take(crash("i-5", &[("hot", 100)]));
+    checked.apply(crash("i-4", &[("hot", 100)]));
+    checked.apply(crash("i-5", &[("hot", 100)]));
     assert!(checked.holds("hot"), "three crashes since its last answer");
-    checked.take(answered("hot"));
+    checked.apply(answered("hot"));
     assert!(!checked.holds("hot"));
 }
 
@@ -159,7 +159,7 @@
     // second crash when they are retried.
     for life in 0..1_000 {
         let (single, retried) = (format!("r-{life}"), format!("again-{}", life / 2));
-        checked.take(crash(&format!("i-{life}"), &[(&single, 900), (&retried, 30)]));
+        checked.apply(crash(&format!("i-{life}"), &[(&single, 900), (&retried, 30)]));
     }
     assert_eq!(checked.ledger.list().held.len(), 0);
 }
@@ -168,7 +168,7 @@
 fn each_term_doubles_and_one_crash_after_it_holds_again() {
     let mut checked = Checked::new();
     for life in ["i-1", "i-2", "i-3"] {
-        checked.take(crash(life, &[("poison", 80)]));
+        checked.apply(crash(life, &[("poison", 80)]));
     }
     let (mut term, mut crashes) = (INITIAL_TERM, CRASHES_TO_HOLD);
     let started = checked.now;
@@ -187,14 +187,14 @@
         if checked.now - started > ms(MAX_TERM) {
             break;
         }
-        checked.take(crash(&format!("i-{life}"), &[("poison", 80), ("beside", 40)]));
+        checked.apply(crash(&format!("i-{life}"), &[("poison", 80), ("beside", 40)]));
         crashes += 1;
         term *= 2;
     }
     assert_eq!(crashes, CRASHES_TO_HOLD + 7);
     assert!(!checked.holds("beside"));
     checked.pass(MAX_TERM + CRASH_RETENTION);
-    checked.take(crash("i-99", &[("poison", 80)]));
+    checked.apply(crash("i-99", &[("poison", 80)]));
     assert!(!checked.holds("poison"), "its former holds have expired");
 }
 
@@ -202,7 +202,7 @@
 fn crashes_far_apart_do_not_add_up() {
     let mut checked = Checked::new();
     for life in 0..20 {
-        checked.take(crash(&format!("i-{life}"), &[("unlucky", 80)]));
+        checked.apply(crash(&format!("i-{life}"), &[("unlucky", 80)]));
         checked.pass(CRASH_RETENTION / 2);
         assert!(!checked.holds("unlucky"));
     }
@@ -216,9 +216,9 @@
         let runs: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), 10)).collect();
         let evidence = crash(&format!("i-{n}"), &runs);
         if n % 97 == 0 {
-            checked.take(evidence);
+            checked.apply(evidence);
         } else {
-            checked.ledger.take(evidence, checked.now);
+            checked.ledger.apply(evidence, checked.now);
         }
     }
     verify(&checked.ledger).unwrap();
@@ -267,7 +267,7 @@
             let evidence = pending.swap_remove(at);
             let is_poison = evidence.crashes[0].runs[0].content == content("poison");
             reports += usize::from(is_poison && !checked.holds("poison"));
-            checked.take(evidence);
+            checked.apply(evidence);
         }
         let present: Vec<&str> = NEIGHBOURS.into_iter().filter(|_| rng.random_bool(0.5)).collect();
         refused += present.iter().filter(|name| checked.holds(name)).count();
@@ -276,7 +276,7 @@
             let suspected =
                 present.iter().filter(|n| checked.ledger.list().wants_answer_reports(&content(n)));
             let answers: Vec<Evidence> = suspected.map(|name| answered(name)).collect();
-            answers.into_iter().for_each(|evidence| checked.take(evidence));
+            answers.into_iter().for_each(|evidence| checked.apply(evidence));
             continue;
         }
         let life = format!("i-{life}");
@@ -286,7 +286,7 @@
         pending.extend(neighbours);
     }
     while let Some(evidence) = pending.pop() {
-        checked.take(evidence);
+        checked.apply(evidence);
     }
     assert!(checked.holds("poison"), "{reports} crashes reported");
     assert!(!NEIGHBOURS.iter().any(|name| checked.holds(name)), "{:?}", checked.ledger.list());
