--- a/crates/hatchpitch/src/claims/messages.rs
+++ b/crates/hatchpitch/src/claims/messages.rs
@@ -52,7 +52,8 @@
     pub status: u16,
     /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// Body; `None` if it was larger than [`ClaimsConfig::max_answer`](super::ClaimsConfig::max_answer).
+    /// Body; `None` if it was larger than
+    /// [`ClaimsConfig::max_answer`](super::ClaimsConfig::max_answer).
     pub body: Option<Vec<u8>>,
 }
 
--- a/crates/hatchpitch/src/quarantine/messages.rs
+++ b/crates/hatchpitch/src/quarantine/messages.rs
@@ -12,9 +12,9 @@
 /// Revision number of a [`QuarantineList`]; a larger number is newer.
 pub type Revision = u64;
 
-/// Maximum number of crashes, and of answered contents, in one message. A box sees this many crashes
-/// when a whole failure domain is lost at once; a request that crashes upstreams does so one at a
-/// time.
+/// Maximum number of crashes, and of answered contents, in one message. A box sees this many
+/// crashes when a whole failure domain is lost at once; a request that crashes upstreams does so
+/// one at a time.
 pub const MAX_REPORTED: usize = 64;
 /// Maximum number of runs reported for one crash, those that started last. It exceeds the number of
 /// requests that an upstream runs concurrently.
--- a/crates/hatchpitch/src/quarantine/observer.rs
+++ b/crates/hatchpitch/src/quarantine/observer.rs
@@ -109,13 +109,13 @@
     Err(Problem::quarantined().retry_after(left))
 }
 
-/// Records that a run was interrupted, and starts to investigate its upstream. `begun` is the time
-/// of the first sign that the upstream ran the request.
+/// Records that a run was interrupted, and starts to investigate its upstream. `started_at` is the
+/// time of the first sign that the upstream ran the request.
 pub fn record_interruption(
     cx: &Rc<EntryCx>,
     location: RunLocation<'_>,
     content: ContentId,
-    begun: Option<Instant>,
+    started_at: Option<Instant>,
 ) {
     if is_leaving(cx, location.upstream) {
         // A leaving upstream interrupts the runs that it cannot finish; that is no crash.
@@ -124,7 +124,7 @@
     if cx.quarantine.recent.borrow().contains(&content, clock::now()) {
         return;
     }
-    let run = CrashedRun { content, ran_for: begun.map(clock::since).unwrap_or_default() };
+    let run = CrashedRun { content, ran_for: started_at.map(clock::since).unwrap_or_default() };
     let mut interrupted = cx.quarantine.interrupted.borrow_mut();
     if let Some(runs) = interrupted.get_mut(location.upstream) {
         if runs.len() < MAX_RUNS_PER_CRASH {
--- a/crates/hatchpitch/src/quarantine/recent.rs
+++ b/crates/hatchpitch/src/quarantine/recent.rs
@@ -1,8 +1,8 @@
 //! Contents that upstreams answered recently, without I/O.
 //!
 //! A popular request runs on many upstreams at the time that a failure domain is lost, so it is
-//! involved in three crashes at once and would be held; once it is refused, no answer could clear it
-//! any more. A content that was answered just before is therefore not suspected.
+//! involved in three crashes at once and would be held; once it is refused, no answer could clear
+//! it any more. A content that was answered just before is therefore not suspected.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
--- a/crates/hatchpitch/src/quarantine/state.rs
+++ b/crates/hatchpitch/src/quarantine/state.rs
@@ -198,10 +198,10 @@
         }
     }
 
-    /// Holds those of the affected contents that have enough weight against them, and releases those
-    /// whose crashes are explained by another content.
+    /// Holds those of the affected contents that have enough weight against them, and releases
+    /// those whose crashes are explained by another content.
     fn update_holds(&mut self, affected: Vec<ContentId>, now: LogTime) {
-        // The content with the highest weight comes first: it may explain the crashes of the others.
+        // The content with the highest weight comes first: it may explain the others' crashes.
         let mut candidates = affected.clone();
         candidates
             .sort_by_cached_key(|c| Reverse((self.total_weight(c), self.last_started_count(c))));
@@ -312,8 +312,8 @@
     }
 }
 
-/// Maximum encoded size of the list, in bytes: 18 for each content with its marker, 9 for each end of
-/// a term, and the field names.
+/// Maximum encoded size of the list, in bytes: 18 for each content with its marker, 9 for each end
+/// of a term, and the field names.
 pub const MAX_LIST_BYTES: usize = MAX_KNOWN * 27 + MAX_WATCHED * 18 + 64;
 
 const _: () =
