--- a/crates/hatchpitch/src/relay/response.rs
+++ b/crates/hatchpitch/src/relay/response.rs
@@ -13,7 +13,7 @@
 use super::run::Relay;
 use super::stream::BUFFERED_CHUNKS;
 use crate::grants::Slot;
-use crate::quarantine::observer::{self, RunPlace};
+use crate::quarantine::observer::{self, RunLocation};
 use crate::routing::Verdict;
 
 /// Builds the caller's response from the head of an upstream's and its complete body.
@@ -50,15 +50,15 @@
             Ok(Ok(())) => {
                 slot.finish(Verdict::Succeeded, None);
                 if is_framed {
-                    observer::note_answer(&cx, content);
+                    observer::record_answer(&cx, content);
                 }
             }
             Ok(Err(err)) => {
                 log::info!(upstream = slot.runner.as_str(); "large response was not forwarded: {err}");
                 // The error may stem from a caller that disconnected. The observer tells this
                 // apart by checking the upstream, which still serves then.
-                let place = RunPlace { upstream: &slot.runner, addr: slot.addr };
-                observer::note_break(&cx, place, content, None);
+                let place = RunLocation { upstream: &slot.runner, addr: slot.addr };
+                observer::record_interruption(&cx, place, content, None);
                 tx.abort();
             }
             Err(_) => tx.abort(),
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -24,7 +24,7 @@
 use crate::moves::mover::Moving;
 use crate::moves::{self, MoveOutcome, Moved, SourceRunner};
 use crate::quarantine::ContentId;
-use crate::quarantine::observer::{self, RunPlace};
+use crate::quarantine::observer::{self, RunLocation};
 use crate::registry::Phase;
 use crate::routing::Verdict;
 use crate::upstream_heads::task as upstream_heads;
@@ -229,7 +229,7 @@
     async fn finish_link(&mut self, closed: StreamEnd, tx: &mut BodySender) -> StreamEnd {
         match &closed {
             StreamEnd::Whole if self.is_framed => {
-                observer::note_answer(&self.relay.cx, self.content)
+                observer::record_answer(&self.relay.cx, self.content)
             }
             StreamEnd::Broken(_) => self.note_break(Some(self.link_start)),
             _ => {}
@@ -246,8 +246,8 @@
     /// Records that the runner broke off its run. `started` is when the run is known to have
     /// started there, if at all.
     fn note_break(&self, started: Option<Instant>) {
-        let place = RunPlace { upstream: &self.slot.runner, addr: self.slot.addr };
-        observer::note_break(&self.relay.cx, place, self.content, started);
+        let place = RunLocation { upstream: &self.slot.runner, addr: self.slot.addr };
+        observer::record_interruption(&self.relay.cx, place, self.content, started);
     }
 
     /// Starts a migration once the runner is about to shut down, and clears one that was abandoned.
