--- a/crates/hatchpitch/src/grants/held.rs
+++ b/crates/hatchpitch/src/grants/held.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use super::messages::AdoptedSlot;
-use crate::dispatch::Want;
+use crate::dispatch::SlotRequest;
 use crate::ids::{AttemptId, PoolName, RunnerName};
 
 /// A slot that this box holds.
@@ -22,7 +22,7 @@
     /// Engine that the slot is on.
     pub runner: RunnerName,
     /// Request that the slot was granted for.
-    pub want: Want,
+    pub want: SlotRequest,
     /// Time of the grant.
     pub since: Instant,
     /// Whether this box granted the slot; its own gate then accounts for it until the release.
