--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -61,7 +61,7 @@
             priority: (i % 9) as u8 + 1,
             cost: u64::from(i % 700) + 20,
             since: now,
-            accepts: Duration::MAX,
+            acceptable_wait: Duration::MAX,
         };
         for i in 0..waiting {
             queue.enqueue(waiter(i));
@@ -93,7 +93,7 @@
         };
         memory.report(&load, now);
         let candidate = Candidate { kind: "w".to_owned(), prompt: 50, max_output: u64::MAX };
-        (0..batch).for_each(|i| memory.take(format!("g{i}"), candidate.clone(), now));
+        (0..batch).for_each(|i| memory.add(format!("g{i}"), candidate.clone(), now));
         let rounds = 2_000;
         let started = Instant::now();
         for _ in 0..rounds {
--- a/crates/hatchpitch/src/admission/gate.rs
+++ b/crates/hatchpitch/src/admission/gate.rs
@@ -225,12 +225,12 @@
 
 impl Permit {
     /// Gives the slot back; nothing was sent, so it costs its workspace nothing.
-    pub fn give_up(mut self) {
+    pub fn release_unused(mut self) {
         self.is_unused = true;
     }
 
     /// Notes what is known of the run.
-    pub fn finish(&mut self, report: RunReport) {
+    pub fn set_report(&mut self, report: RunReport) {
         self.report = report;
     }
 }
--- a/crates/hatchpitch/src/admission/memory.rs
+++ b/crates/hatchpitch/src/admission/memory.rs
@@ -95,12 +95,12 @@
     }
 
     /// Notes that a generation runs.
-    pub fn take(&mut self, id: AttemptId, candidate: Candidate, now: Instant) {
+    pub fn add(&mut self, id: AttemptId, candidate: Candidate, now: Instant) {
         self.held.insert(id, Held { candidate, since: now });
     }
 
     /// Notes that a generation ended, with its length if it is known.
-    pub fn give_back(&mut self, id: &str, tokens: Option<u64>, now: Instant) {
+    pub fn remove(&mut self, id: &str, tokens: Option<u64>, now: Instant) {
         let Some(held) = self.held.remove(id) else { return };
         let seconds = now.duration_since(held.since).as_secs_f64();
         if let Some(tokens) = tokens.filter(|_| seconds > 0.05) {
--- a/crates/hatchpitch/src/admission/state.rs
+++ b/crates/hatchpitch/src/admission/state.rs
@@ -55,7 +55,7 @@
     /// When it came.
     pub since: Instant,
     /// Expected wait beyond which it is refused at once instead of waiting.
-    pub accepts: Duration,
+    pub acceptable_wait: Duration,
 }
 
 /// What became of a request that came.
@@ -142,7 +142,7 @@
     /// Puts a request into the queue, or refuses it or the one that would be served last.
     pub fn enqueue(&mut self, waiter: Waiter) -> Enqueued {
         let wait = self.expected_wait(&waiter.workspace, waiter.priority);
-        if wait > self.cfg.max_wait.min(waiter.accepts) {
+        if wait > self.cfg.max_wait.min(waiter.acceptable_wait) {
             return Enqueued::Refused;
         }
         if self.queued.len() < self.cfg.max_waiting {
@@ -161,9 +161,10 @@
     }
 
     /// Puts the requests behind all others that have waited for longer than they accept.
-    pub fn age(&mut self, now: Instant) {
-        let is_late =
-            |queued: &Queued| now.duration_since(queued.waiter.since) >= queued.waiter.accepts;
+    pub fn demote_overdue(&mut self, now: Instant) {
+        let is_late = |queued: &Queued| {
+            now.duration_since(queued.waiter.since) >= queued.waiter.acceptable_wait
+        };
         for queued in self.queued.values().filter(|queued| is_late(queued)) {
             if self.order.remove(&queued.order) {
                 self.late.insert(queued.order);
@@ -257,7 +258,7 @@
     }
 
     /// Notes that another request goes past these, which found no room.
-    pub fn note_passed(&mut self, tickets: &[Ticket]) {
+    pub fn record_bypass(&mut self, tickets: &[Ticket]) {
         for ticket in tickets {
             if let Some(queued) = self.queued.get_mut(ticket) {
                 queued.passed += 1;
@@ -271,7 +272,7 @@
     }
 
     /// Returns how many requests went past one because it found no room.
-    pub fn passed(&self, ticket: Ticket) -> u32 {
+    pub fn bypass_count(&self, ticket: Ticket) -> u32 {
         self.queued.get(&ticket).map_or(0, |queued| queued.passed)
     }
 
--- a/crates/hatchpitch/src/control/daemon.rs
+++ b/crates/hatchpitch/src/control/daemon.rs
@@ -12,12 +12,12 @@
 use super::context::ControlCx;
 use super::machine::Order;
 use super::{boxes, join, operators};
+use crate::backlog_monitor;
 use crate::commands::task as commands;
 use crate::config::feed;
 use crate::essential::spawn_essential;
 use crate::listener::{self, ExtraListener, bound_at};
 use crate::logging::unix_ms;
-use crate::pressure;
 use crate::registry::peers;
 use crate::replication::bootstrap::Begun;
 use crate::replication::disk::Disk;
@@ -111,7 +111,7 @@
     if cx.settings.data_folder.is_some() {
         spawn_essential("members", join::run(cx.clone(), stop.clone()));
     }
-    spawn_essential("pressure", pressure::run(cx.boxes.clone(), stop.clone()));
+    spawn_essential("pressure", backlog_monitor::run(cx.boxes.clone(), stop.clone()));
     let look = cx.clone();
     let lonely = move || look.is_out_of_touch();
     let renew = peers::run(cx.registry.clone(), cx.registry_peers(), lonely, stop.clone());
--- a/crates/hatchpitch/src/dispatch/line.rs
+++ b/crates/hatchpitch/src/dispatch/line.rs
@@ -17,7 +17,7 @@
 use crate::admission::memory::Candidate;
 use crate::admission::state::{AdmissionConfig, AdmissionQueue, Enqueued, Ticket, Waiter};
 use crate::ids::{AttemptId, FailureDomainName, Priority, RequestKind, RunnerName, WorkspaceName};
-use crate::routing::state::{Asked, Closed, RunnerSpec};
+use crate::routing::state::{Closed, RunnerQuery, RunnerSpec};
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
 use crate::upstream_heads::SharedSignals;
 
@@ -96,9 +96,9 @@
         !self.avoid.contains(runner) && (self.within.is_empty() || self.within.contains(domain))
     }
 
-    fn asked(&self) -> Asked<'_> {
+    fn asked(&self) -> RunnerQuery<'_> {
         let near = self.near.as_deref();
-        Asked {
+        RunnerQuery {
             id: &self.id,
             priority: self.priority,
             avoid: &self.avoid,
@@ -222,7 +222,7 @@
             priority: want.priority,
             cost: self.cost(want),
             since: now,
-            accepts: want.accepts.unwrap_or(Duration::MAX),
+            acceptable_wait: want.accepts.unwrap_or(Duration::MAX),
         };
         let ticket = match self.queue.enqueue(waiter) {
             Enqueued::Waiting(ticket) => ticket,
@@ -365,7 +365,7 @@
 
     /// Lets in whoever is next for as long as there is room.
     fn pump(&mut self, now: Instant) {
-        self.queue.age(now);
+        self.queue.demote_overdue(now);
         while let Some((ticket, spec)) = self.next_fitting(now) {
             self.queue.grant_to(ticket, now);
             let Some(want) = self.waiting.remove(&ticket) else { continue };
@@ -385,14 +385,14 @@
                 too_long.iter().any(|(kind, prompt)| **kind == want.kind && *prompt <= want.prompt);
             if !hopeless {
                 if let Some(spec) = pick(&mut self.table, &self.lengths, want, now) {
-                    self.queue.note_passed(&without_room);
+                    self.queue.record_bypass(&without_room);
                     return Some((ticket, spec));
                 }
                 if want.avoid.is_empty() && want.within.is_empty() {
                     too_long.push((&want.kind, want.prompt));
                 }
             }
-            if self.queue.passed(ticket) >= MAX_PASSED {
+            if self.queue.bypass_count(ticket) >= MAX_PASSED {
                 return None;
             }
             without_room.push(ticket);
@@ -428,7 +428,7 @@
     }
 
     fn no_runner(&self, now: Instant) -> Refusal {
-        let until = self.table.next_return().map(|at| at.saturating_duration_since(now));
+        let until = self.table.next_readmission().map(|at| at.saturating_duration_since(now));
         let retry_after = until.unwrap_or(NO_RUNNER_RETRY).max(MIN_RETRY);
         Refusal::new("no runner of the pool takes work", retry_after)
     }
--- a/crates/hatchpitch/src/entry/daemon.rs
+++ b/crates/hatchpitch/src/entry/daemon.rs
@@ -11,6 +11,7 @@
 
 use super::context::{EntryCx, Intake};
 use super::{boxes, callers};
+use crate::backlog_monitor;
 use crate::config::feed;
 use crate::essential::spawn_essential;
 use crate::grants::task as grants;
@@ -20,7 +21,6 @@
 use crate::membership::messages::{MemberRecord, MemberStatus, Subject};
 use crate::membership::state::{Membership, MembershipConfig};
 use crate::membership::task;
-use crate::pressure;
 use crate::registry::follow::{self, OrderHints};
 use crate::routing::task as routing;
 use crate::settings::EntrySettings;
@@ -142,7 +142,7 @@
     let name = cx.settings.name.clone();
     let upstreams = follow::run(name, followed, cx.boxes.clone(), hints, stop.clone());
     spawn_essential("upstreams", upstreams);
-    spawn_essential("pressure", pressure::run(cx.boxes.clone(), stop.clone()));
+    spawn_essential("pressure", backlog_monitor::run(cx.boxes.clone(), stop.clone()));
     spawn_essential("configuration", follow_config(cx.clone(), stop.clone()));
     spawn_essential("routing", routing::run(cx.clone(), stop.clone()));
     spawn_essential("grants", grants::run(cx.clone(), stop.clone()));
--- a/crates/hatchpitch/src/grants/state.rs
+++ b/crates/hatchpitch/src/grants/state.rs
@@ -36,7 +36,7 @@
     /// Takes a slot back. Nothing happens if it is not known.
     pub fn release(&mut self, id: &str, report: RunReport) {
         if let Some(mut grant) = self.grants.remove(id) {
-            grant.permit.finish(report);
+            grant.permit.set_report(report);
         }
     }
 
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -116,7 +116,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let Source::Own(permit) = &mut self.from {
-            permit.finish(self.report);
+            permit.set_report(self.report);
         }
         let Some(held) = self.cx.held.borrow_mut().remove(&self.id) else { return };
         let release = ReleaseRequest { id: self.id.clone(), report: self.report };
@@ -228,7 +228,7 @@
     match upstream_limits::confirm(cx, &permit.runner.name, want.priority).await {
         Ok(()) => Ok(permit),
         Err(wait) => {
-            permit.give_up();
+            permit.release_unused();
             Err(wait)
         }
     }
--- a/crates/hatchpitch/src/lib.rs
+++ b/crates/hatchpitch/src/lib.rs
@@ -6,6 +6,7 @@
 //! `hatchpitch-entry` and `hatchpitch-control` only wire duties together.
 
 pub mod admission;
+pub mod backlog_monitor;
 pub mod claims;
 pub mod commands;
 pub mod config;
@@ -26,7 +27,6 @@
 pub mod metrics;
 pub mod moves;
 pub mod outcome;
-pub mod pressure;
 pub mod quarantine;
 pub mod registry;
 pub mod relay;
--- a/crates/hatchpitch/src/routing/state.rs
+++ b/crates/hatchpitch/src/routing/state.rs
@@ -151,7 +151,7 @@
 
 /// Which runners a request asks for.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct RunnerQuery<'a> {
     /// The run.
     pub id: &'a AttemptId,
     /// What it pays for.
@@ -202,7 +202,7 @@
 /// How much longer a copy to another failure domain takes.
 const FAR_COPY_FACTOR: f64 = 2.0;
 
-impl Asked<'_> {
+impl RunnerQuery<'_> {
     fn allows(&self, spec: &RunnerSpec) -> bool {
         !self.avoid.contains(&spec.name)
             && (self.within.is_empty() || self.within.contains(&spec.failure_domain))
@@ -297,7 +297,7 @@
     /// on it.
     pub fn pick(
         &mut self,
-        asked: &Asked<'_>,
+        asked: &RunnerQuery<'_>,
         candidate: &Candidate,
         lengths: &LengthModel,
         now: Instant,
@@ -321,7 +321,7 @@
                 best.copies.add(tokens + rest, best.spec.copy_rate, now);
             }
         }
-        best.memory.take(asked.id.clone(), candidate.clone(), now);
+        best.memory.add(asked.id.clone(), candidate.clone(), now);
         Some(best.spec.clone())
     }
 
@@ -329,20 +329,20 @@
     pub fn adopt(
         &mut self,
         name: &str,
-        asked: &Asked<'_>,
+        asked: &RunnerQuery<'_>,
         candidate: &Candidate,
         since: Instant,
     ) -> Option<RunnerSpec> {
         let runner = self.runners.get_mut(name).filter(|runner| runner.configured)?;
         runner.running += 1;
-        runner.memory.take(asked.id.clone(), candidate.clone(), since);
+        runner.memory.add(asked.id.clone(), candidate.clone(), since);
         Some(runner.spec.clone())
     }
 
     /// Returns the load of the runner that would be picked, if any has room.
     pub fn quote(
         &self,
-        asked: &Asked<'_>,
+        asked: &RunnerQuery<'_>,
         candidate: &Candidate,
         lengths: &LengthModel,
         now: Instant,
@@ -353,7 +353,7 @@
     /// Finds the least loaded runner that takes the request, and its load.
     fn best(
         &self,
-        asked: &Asked<'_>,
+        asked: &RunnerQuery<'_>,
         candidate: &Candidate,
         lengths: &LengthModel,
         now: Instant,
@@ -391,7 +391,7 @@
 
     /// Returns when one of the runners that could run a request may get it, if all of them are at
     /// their limits or asked for rest.
-    pub fn closed(&self, asked: &Asked<'_>, now: Instant) -> Option<Closed> {
+    pub fn closed(&self, asked: &RunnerQuery<'_>, now: Instant) -> Option<Closed> {
         let (limits, rests) = (self.signals.limits.borrow(), self.signals.rests.borrow());
         if limits.limited() == 0 && rests.is_empty() {
             return None;
@@ -413,14 +413,14 @@
     }
 
     /// Returns what it costs, in load, that a runner may turn the request away.
-    fn risk(&self, asked: &Asked<'_>, runner: &RunnerState, now: Instant) -> f64 {
+    fn risk(&self, asked: &RunnerQuery<'_>, runner: &RunnerState, now: Instant) -> f64 {
         let returns = |name| self.signals.rests.borrow().is_returning(name, now);
         let is_at_risk = asked.only_try && asked.sends_here && returns(&runner.spec.name);
         if is_at_risk { RETURN_RISK } else { 0.0 }
     }
 
     /// Returns whether limit and rest of a runner leave room for a request.
-    fn admits(&self, asked: &Asked<'_>, runner: &str, now: Instant) -> bool {
+    fn admits(&self, asked: &RunnerQuery<'_>, runner: &str, now: Instant) -> bool {
         let limits = self.signals.limits.borrow();
         let skipped = asked.skips_limited && limits.limit(runner).is_some();
         let rested = asked.sends_here && !self.signals.rests.borrow().admits(runner, now);
@@ -428,7 +428,7 @@
     }
 
     /// Notes at the limits of its runners that a request wants to be sent.
-    fn expect(&self, asked: &Asked<'_>, now: Instant) {
+    fn expect(&self, asked: &RunnerQuery<'_>, now: Instant) {
         let mut limits = self.signals.limits.borrow_mut();
         if limits.limited() == 0 {
             return;
@@ -445,12 +445,12 @@
     }
 
     /// Returns whether any runner that a request asks for could take it now or later.
-    pub fn any_serving_for(&self, asked: &Asked<'_>) -> bool {
+    pub fn any_serving_for(&self, asked: &RunnerQuery<'_>) -> bool {
         self.runners.values().any(|r| r.configured && r.serving && asked.allows(&r.spec))
     }
 
     /// Returns when the first ejected runner comes back, if none serves.
-    pub fn next_return(&self) -> Option<Instant> {
+    pub fn next_readmission(&self) -> Option<Instant> {
         let back = self.runners.values().filter(|r| r.configured && r.serving);
         back.filter_map(|r| r.ejected_until).min()
     }
@@ -460,7 +460,7 @@
         let cfg = self.cfg;
         let Some(runner) = self.runners.get_mut(name) else { return };
         runner.running = runner.running.saturating_sub(1);
-        runner.memory.give_back(id, report.tokens, now);
+        runner.memory.remove(id, report.tokens, now);
         runner.reading.give_back(id, report.first);
         match report.verdict {
             Verdict::Released => {}
--- a/crates/hatchpitch/tests/admission.rs
+++ b/crates/hatchpitch/tests/admission.rs
@@ -10,7 +10,13 @@
 use hatchpitch::engine::EngineLoad;
 
 fn waiter(workspace: &str, priority: u8, cost: u64, since: Instant) -> Waiter {
-    Waiter { workspace: workspace.to_owned(), priority, cost, since, accepts: Duration::MAX }
+    Waiter {
+        workspace: workspace.to_owned(),
+        priority,
+        cost,
+        since,
+        acceptable_wait: Duration::MAX,
+    }
 }
 
 fn no_aging() -> AdmissionConfig {
@@ -64,7 +70,8 @@
     for _ in 0..4 {
         queue.enqueue(waiter("a", 5, 10, now));
     }
-    let accepts = |ms| Waiter { accepts: Duration::from_millis(ms), ..waiter("a", 5, 10, now) };
+    let accepts =
+        |ms| Waiter { acceptable_wait: Duration::from_millis(ms), ..waiter("a", 5, 10, now) };
     assert_eq!(queue.enqueue(accepts(700)), Enqueued::Refused);
     assert!(queue.retry_after("a", 5) >= Duration::from_millis(800));
     // Another workspace has had no service yet, and is next.
@@ -177,7 +184,7 @@
         if !memory.fits(policy, &candidate, lengths, now) {
             return i;
         }
-        memory.take(format!("g{i}"), candidate.clone(), now);
+        memory.add(format!("g{i}"), candidate.clone(), now);
     }
     1_000
 }
--- a/crates/hatchpitch/tests/routing.rs
+++ b/crates/hatchpitch/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use hatchpitch::admission::LengthModel;
 use hatchpitch::admission::memory::{Candidate, MemoryPolicy};
-use hatchpitch::routing::state::{Asked, RunnerSpec};
+use hatchpitch::routing::state::{RunnerQuery, RunnerSpec};
 use hatchpitch::routing::{RoutingConfig, RunReport, RunnerTable, Verdict};
 
 fn spec(name: &str, domain: &str) -> RunnerSpec {
@@ -40,7 +40,7 @@
 ) -> Option<String> {
     let avoid: Vec<String> = avoid.iter().map(|name| (*name).to_owned()).collect();
     let id = format!("{tokens}-{copy}");
-    let asked = Asked {
+    let asked = RunnerQuery {
         priority: 0,
         skips_limited: false,
         sends_here: false,
--- a/crates/hatchpitch/tests/switches.rs
+++ b/crates/hatchpitch/tests/switches.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use hatchpitch::admission::{Candidate, LengthModel, MemoryPolicy, Policy};
-use hatchpitch::routing::state::{Asked, RunnerSpec};
+use hatchpitch::routing::state::{RunnerQuery, RunnerSpec};
 use hatchpitch::routing::{RoutingConfig, RunReport, RunnerTable, Verdict};
 use hatchpitch::settings::diagnostic::{Problems, load_toml};
 use hatchpitch::settings::policy::RawPolicy;
@@ -56,7 +56,7 @@
     table.sync(["a", "b"].map(spec));
     let candidate = Candidate { kind: "k".to_owned(), prompt: 1, max_output: 1 };
     let (id, lengths) = ("run".to_owned(), LengthModel::default());
-    let asked = Asked {
+    let asked = RunnerQuery {
         id: &id,
         priority: 0,
         avoid: &[],
--- a/crates/hatchpitch/tests/warming.rs
+++ b/crates/hatchpitch/tests/warming.rs
@@ -5,7 +5,7 @@
 
 use hatchpitch::admission::lengths::LengthModel;
 use hatchpitch::admission::memory::Candidate;
-use hatchpitch::routing::state::{Asked, RunnerSpec};
+use hatchpitch::routing::state::{RunnerQuery, RunnerSpec};
 use hatchpitch::routing::warming::Warming;
 use hatchpitch::routing::{ColdLimit, RoutingConfig, RunnerTable};
 
@@ -125,7 +125,7 @@
     let mut cold = 0;
     for n in 0..per_second {
         let (id, now) = (n.to_string(), start + SECOND / per_second * n);
-        let asked = Asked {
+        let asked = RunnerQuery {
             priority: 0,
             skips_limited: false,
             sends_here: false,
@@ -160,7 +160,7 @@
     let within = ["e".to_owned()];
     for n in 0..20 {
         let id = n.to_string();
-        let asked = Asked {
+        let asked = RunnerQuery {
             priority: 0,
             skips_limited: false,
             sends_here: false,
