--- a/crates/hatchpitch/src/admission/gate.rs
+++ b/crates/hatchpitch/src/admission/gate.rs
@@ -1,4 +1,5 @@
-//! Lets requests onto the runners of one pool: a [`Line`] with a channel for each that waits.
+//! Asynchronous admission to the runners of one pool: wraps a [`Line`] and wakes each waiting
+//! request through its own channel.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,26 +16,26 @@
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
 use crate::upstream_heads::SharedSignals;
 
-/// Bound on waits for timers; queues expire their requests far earlier.
-const LONGEST_WAIT: Duration = Duration::from_secs(3_600);
+/// Upper bound on the timeout of a wait. The queue expires its requests far earlier.
+const MAX_WAIT: Duration = Duration::from_secs(3_600);
 
-/// Time between two looks for room while requests wait: a tenth of what a prompt takes to be
-/// read, so that an engine is not left idle for longer.
-const PUMP_PERIOD: Duration = Duration::from_millis(20);
+/// Interval at which a gate with waiting requests checks for free capacity. It is a tenth of the
+/// time that an engine takes to prefill a prompt, which bounds how long an engine sits idle.
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// What a request that waits gets in the end.
-type Slot = Result<RunnerSpec, Refusal>;
+/// Result of a wait: the runner on which a slot was taken, or the refusal.
+type WaitResult = Result<RunnerSpec, Refusal>;
 
 struct Inner {
     line: Line,
-    /// Whether a task lets in who waits as engines get prompts read.
-    pumped: bool,
-    waiting: HashMap<Ticket, oneshot::Sender<Slot>>,
+    /// Whether a task polls the line for free capacity.
+    polling: bool,
+    waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
 }
 
 impl Inner {
-    /// Passes the line's answers on to those who wait. A slot whose request has left goes back,
-    /// which may let in another one.
+    /// Sends the line's answers to the waiting requests. A slot whose request has been cancelled
+    /// is given back, which may admit another request, so this repeats until no answer is left.
     fn deliver(&mut self, now: Instant) {
         let mut answers = self.line.take_answers();
         while !answers.is_empty() {
@@ -52,41 +53,45 @@
     }
 }
 
-/// The entrance to one pool at one box.
+/// Admission control for one pool at one box.
 #[derive(Clone)]
 pub struct Gate(Rc<RefCell<Inner>>);
 
 impl Gate {
-    /// Creates a gate without runners, that keeps to the limits and rests that the whole box knows.
+    /// Creates a gate without runners. `signals` holds the rate limits and rests (`Retry-After`
+    /// pauses) of upstreams, shared by all gates of the box.
     pub fn new(admission: AdmissionConfig, routing: RoutingConfig, signals: SharedSignals) -> Self {
         let line = Line::new(admission, routing).sharing(signals);
-        Self(Rc::new(RefCell::new(Inner { line, pumped: false, waiting: HashMap::new() })))
+        Self(Rc::new(RefCell::new(Inner { line, polling: false, waiting: HashMap::new() })))
     }
 
-    /// Takes a slot on a runner if one is free and nobody waits.
+    /// Takes a slot on a runner if one is free and no request is waiting.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] if no runner takes work; `Ok(None)` means that the request would wait.
+    /// Returns a [`Refusal`] if no runner accepts work; `Ok(None)` means that the request would
+    /// have to wait.
     pub fn try_admit(&self, want: &Want) -> Result<Option<Permit>, Refusal> {
         let cost = self.cost(want);
-        let placed = self.change(|line, now| line.place(want, now))?;
+        let placed = self.with_line(|line, now| line.place(want, now))?;
         Ok(placed.map(|spec| self.permit(spec, want.clone(), cost)))
     }
 
-    /// Counts a slot that another owner granted so long ago, if the engine is one of this gate's.
+    /// Accounts for a slot that another owner granted `age` ago. Returns `None` if this
+    /// gate does not have the runner.
     pub fn adopt(&self, runner: &str, want: Want, age: Duration) -> Option<Permit> {
         let cost = self.cost(&want);
-        let spec = self
-            .change(|line, now| line.adopt(runner, &want, now.checked_sub(age).unwrap_or(now)))?;
+        let spec = self.with_line(|line, now| {
+            line.adopt(runner, &want, now.checked_sub(age).unwrap_or(now))
+        })?;
         Some(self.permit(spec, want, cost))
     }
 
-    /// Returns what a request would get at once.
+    /// Returns what a request would get now, without taking a slot.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] if no runner takes work.
+    /// Returns a [`Refusal`] if no runner accepts work.
     pub fn quote(&self, want: &Want) -> Result<Quote, Refusal> {
         self.0.borrow().line.quote(want, clock::now())
     }
@@ -95,23 +100,23 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] as soon as the request is given up on.
+    /// Returns a [`Refusal`] as soon as the request is refused, on arrival or while it waits.
     pub async fn admit(&self, want: Want) -> Result<Permit, Refusal> {
         let cost = self.cost(&want);
-        let ticket = match self.change(|line, now| line.decide(&want, now)) {
+        let ticket = match self.with_line(|line, now| line.decide(&want, now)) {
             Decision::Run(spec) => return Ok(self.permit(spec, want, cost)),
             Decision::Refuse(refusal) => return Err(refusal),
             Decision::Wait(ticket) => ticket,
         };
         let (tx, rx) = oneshot::channel();
         self.0.borrow_mut().waiting.insert(ticket, tx);
-        // It may fit although those before it do not.
+        // The request may fit although the ones queued before it do not.
         self.tick();
-        self.pump_while_waiting();
+        self.poll_while_waiting();
         let id = want.id.clone();
         let mut guard = WaitGuard { gate: Rc::downgrade(&self.0), ticket, id, rx };
         let limit = want.max_wait.unwrap_or(Duration::MAX);
-        let granted = match compio::time::timeout(limit.min(LONGEST_WAIT), &mut guard.rx).await {
+        let granted = match compio::time::timeout(limit.min(MAX_WAIT), &mut guard.rx).await {
             Ok(granted) => granted,
             Err(_) => {
                 let retry_after = self.0.borrow().line.retry_after(&want);
@@ -125,45 +130,46 @@
         }
     }
 
-    /// Returns how long a request would wait.
+    /// Returns the expected wait of a request.
     pub fn expected_wait(&self, want: &Want) -> Duration {
         self.0.borrow().line.expected_wait(want, clock::now())
     }
 
-    /// Changes the runner table, then lets in whoever can run now.
+    /// Changes the runner table, then admits every request that can run now.
     pub fn update<T>(&self, change: impl FnOnce(&mut RunnerTable) -> T) -> T {
-        self.change(|line, now| line.update(now, change))
+        self.with_line(|line, now| line.update(now, change))
     }
 
-    /// Changes the bounds of the queue.
+    /// Replaces the limits of the queue.
     pub fn configure(&self, cfg: AdmissionConfig) {
-        self.change(|line, _| line.configure(cfg));
+        self.with_line(|line, _| line.configure(cfg));
     }
 
-    /// Refuses who waited too long and lets in who can run; call it a few times a second.
+    /// Refuses requests that waited too long and admits those that can run. Must be called a few
+    /// times a second.
     pub fn tick(&self) {
-        self.change(Line::tick);
+        self.with_line(Line::tick);
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.0.borrow().line.waiting()
     }
 
-    /// Looks again and again for room while requests wait: engines get room by reading, of which
-    /// nothing is heard.
-    fn pump_while_waiting(&self) {
-        if std::mem::replace(&mut self.0.borrow_mut().pumped, true) {
+    /// Spawns a task that polls for free capacity while requests wait. Engines free capacity by
+    /// finishing prefills, which they do not report.
+    fn poll_while_waiting(&self) {
+        if std::mem::replace(&mut self.0.borrow_mut().polling, true) {
             return;
         }
         let gate = Rc::downgrade(&self.0);
         compio::runtime::spawn(async move {
             loop {
-                compio::time::sleep(PUMP_PERIOD).await;
+                compio::time::sleep(POLL_PERIOD).await;
                 let Some(gate) = gate.upgrade().map(Gate) else { return };
                 gate.tick();
                 if gate.waiting() == 0 {
-                    gate.0.borrow_mut().pumped = false;
+                    gate.0.borrow_mut().polling = false;
                     return;
                 }
             }
@@ -171,12 +177,12 @@
         .detach();
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut Line, Instant) -> T) -> T {
+    fn with_line<T>(&self, f: impl FnOnce(&mut Line, Instant) -> T) -> T {
         let now = clock::now();
         let mut inner = self.0.borrow_mut();
-        let changed = change(&mut inner.line, now);
+        let result = f(&mut inner.line, now);
         inner.deliver(now);
-        changed
+        result
     }
 
     fn cost(&self, want: &Want) -> u64 {
@@ -185,16 +191,16 @@
 
     fn permit(&self, runner: RunnerSpec, want: Want, cost: u64) -> Permit {
         let gate = self.clone();
-        Permit { gate, runner, want, cost, report: RunReport::RELEASED, is_unused: false }
+        Permit { gate, runner, want, cost, report: RunReport::RELEASED, unused: false }
     }
 }
 
-/// Takes a request out of the line if its caller stops waiting.
+/// Removes a request from the line if its caller stops waiting.
 struct WaitGuard {
     gate: Weak<RefCell<Inner>>,
     ticket: Ticket,
     id: AttemptId,
-    rx: oneshot::Receiver<Slot>,
+    rx: oneshot::Receiver<WaitResult>,
 }
 
 impl Drop for WaitGuard {
@@ -203,7 +209,7 @@
         let mut inner = gate.borrow_mut();
         inner.line.cancel(self.ticket);
         inner.waiting.remove(&self.ticket);
-        // A slot may have been granted in the moment the caller left.
+        // A slot may have been granted just before the caller left.
         if let Ok(Some(Ok(spec))) = self.rx.try_recv() {
             let now = clock::now();
             inner.line.give_up(&spec.name, &self.id, now);
@@ -215,21 +221,21 @@
 /// A slot on a runner; dropping it gives the slot back.
 pub struct Permit {
     gate: Gate,
-    /// The runner.
+    /// The runner that the slot is on.
     pub runner: RunnerSpec,
     want: Want,
     cost: u64,
     report: RunReport,
-    is_unused: bool,
+    unused: bool,
 }
 
 impl Permit {
-    /// Gives the slot back; nothing was sent, so it costs its workspace nothing.
+    /// Gives back a slot for which nothing was sent, and refunds the charge to the workspace.
     pub fn release_unused(mut self) {
-        self.is_unused = true;
+        self.unused = true;
     }
 
-    /// Notes what is known of the run.
+    /// Sets the report that is passed on when the slot is given back.
     pub fn set_report(&mut self, report: RunReport) {
         self.report = report;
     }
@@ -238,8 +244,8 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let (runner, want) = (&self.runner.name, &self.want);
-        self.gate.change(|line, now| {
-            if self.is_unused {
+        self.gate.with_line(|line, now| {
+            if self.unused {
                 return line.give_up_unused(runner, want, self.cost, now);
             }
             line.give_back(runner, want, self.cost, self.report, now);
--- a/crates/hatchpitch/src/admission/lengths.rs
+++ b/crates/hatchpitch/src/admission/lengths.rs
@@ -1,31 +1,32 @@
-//! How long outputs are: learned a kind of request, without knowing any length ahead.
+//! Learned distribution of output lengths, by kind of request.
 //!
-//! A histogram with buckets that grow by a quarter of a power of two gives the
-//! chance that an output is longer than so many tokens. A kind with few
-//! samples borrows from its pool, and a pool from a heavy-tailed prior.
+//! The length of an output is not known in advance. A histogram with four buckets per power of
+//! two estimates the probability that an output exceeds a number of tokens. The estimate of a
+//! kind with few samples is smoothed towards that of its pool, and the estimate of the pool
+//! towards a heavy-tailed prior.
 
 use std::collections::HashMap;
 
 use crate::ids::RequestKind;
 
-/// Buckets a power of two.
-const PER_OCTAVE: f64 = 4.0;
-/// Buckets; the last one holds everything longer.
+/// Histogram buckets per power of two.
+const BUCKETS_PER_OCTAVE: f64 = 4.0;
+/// Number of buckets. The last one also counts all longer outputs.
 const BUCKETS: usize = 72;
-/// Samples after which older ones lose half of their weight.
-const MAX_SAMPLES: f64 = 4_096.0;
-/// Samples that the borrowed distribution is worth.
-const BORROWED: f64 = 16.0;
-/// Length from which the prior's tail falls, in tokens.
+/// Total weight at which the weight of all samples is halved.
+const MAX_WEIGHT: f64 = 4_096.0;
+/// Weight of the distribution that an estimate is smoothed towards, in samples.
+const PRIOR_WEIGHT: f64 = 16.0;
+/// Length above which the tail of the prior decays, in tokens.
 const PRIOR_SCALE: f64 = 64.0;
-/// Kinds that are kept apart; more share their pool's samples.
+/// Number of kinds with a histogram of their own. Further kinds use the one of the pool.
 const MAX_KINDS: usize = 8_192;
 
-/// Lengths seen, newest ones weighing most.
+/// Histogram of observed lengths with exponential decay: newer samples weigh more.
 #[derive(Debug, Clone)]
 struct Samples {
     counts: [f32; BUCKETS],
-    /// Samples in all later buckets, so that a look-up costs the same whatever was seen.
+    /// Suffix sums of `counts`, each without its own bucket, for look-ups in constant time.
     above: [f32; BUCKETS],
     total: f64,
 }
@@ -38,37 +39,39 @@
 
 impl Samples {
     fn add(&mut self, tokens: u64) {
-        if self.total >= MAX_SAMPLES {
+        if self.total >= MAX_WEIGHT {
             self.counts.iter_mut().for_each(|count| *count /= 2.0);
             self.total /= 2.0;
         }
-        self.counts[bucket(tokens)] += 1.0;
+        self.counts[bucket_index(tokens)] += 1.0;
         self.total += 1.0;
-        let mut above = 0.0;
-        for (count, sum) in self.counts.iter().zip(&mut self.above).rev() {
-            *sum = above;
-            above += count;
+        let mut sum = 0.0;
+        for (count, above) in self.counts.iter().zip(&mut self.above).rev() {
+            *above = sum;
+            sum += count;
         }
     }
 
-    /// Returns how many samples are longer than `tokens`; the bucket it lies in counts in part.
-    fn longer(&self, tokens: f64) -> f64 {
-        let at = position(tokens);
-        let within = (at as usize).min(BUCKETS - 1);
-        let part = 1.0 - (at - within as f64).clamp(0.0, 1.0);
-        f64::from(self.above[within]) + f64::from(self.counts[within]) * part
+    /// Returns the weight of the samples longer than `tokens`. The bucket that contains `tokens`
+    /// is interpolated.
+    fn weight_above(&self, tokens: f64) -> f64 {
+        let position = bucket_position(tokens);
+        let bucket = (position as usize).min(BUCKETS - 1);
+        let fraction = 1.0 - (position - bucket as f64).clamp(0.0, 1.0);
+        f64::from(self.above[bucket]) + f64::from(self.counts[bucket]) * fraction
     }
 }
 
-fn position(tokens: f64) -> f64 {
-    tokens.max(1.0).log2() * PER_OCTAVE
+/// Returns the fractional index of the bucket that contains `tokens`.
+fn bucket_position(tokens: f64) -> f64 {
+    tokens.max(1.0).log2() * BUCKETS_PER_OCTAVE
 }
 
-fn bucket(tokens: u64) -> usize {
-    (position(tokens as f64) as usize).min(BUCKETS - 1)
+fn bucket_index(tokens: u64) -> usize {
+    (bucket_position(tokens as f64) as usize).min(BUCKETS - 1)
 }
 
-/// Lengths of the outputs of one pool.
+/// Distribution of the output lengths of one pool.
 #[derive(Debug, Clone, Default)]
 pub struct LengthModel {
     pool: Samples,
@@ -77,7 +80,7 @@
 }
 
 impl LengthModel {
-    /// Takes in the length of a finished output.
+    /// Adds the length of a finished output.
     pub fn observe(&mut self, kind: &str, tokens: u64) {
         self.pool.add(tokens);
         let weight = (1.0 / self.pool.total).max(0.01);
@@ -89,24 +92,28 @@
         }
     }
 
-    /// Returns the chance that an output of a kind is longer than `tokens`.
+    /// Returns the probability that an output of `kind` is longer than `tokens`.
     pub fn survival(&self, kind: &str, tokens: f64) -> f64 {
         let prior = (PRIOR_SCALE / tokens.max(PRIOR_SCALE)).powf(1.1);
-        let pool = (self.pool.longer(tokens) + BORROWED * prior) / (self.pool.total + BORROWED);
+        let pool = (self.pool.weight_above(tokens) + PRIOR_WEIGHT * prior)
+            / (self.pool.total + PRIOR_WEIGHT);
         match self.kinds.get(kind) {
-            Some(own) => (own.longer(tokens) + BORROWED * pool) / (own.total + BORROWED),
+            Some(kind) => {
+                (kind.weight_above(tokens) + PRIOR_WEIGHT * pool) / (kind.total + PRIOR_WEIGHT)
+            }
             None => pool,
         }
     }
 
-    /// Returns the length that an output of a kind stays below with chance `share`.
-    pub fn quantile(&self, kind: &str, share: f64) -> u64 {
-        let found = (0..BUCKETS).map(|b| 2_f64.powf(b as f64 / PER_OCTAVE));
-        let mut found = found.skip_while(|len| self.survival(kind, *len) > 1.0 - share);
-        found.next().map_or(u64::MAX / 4, |len| len as u64)
+    /// Returns the length in tokens that an output of `kind` does not exceed with probability
+    /// `probability`.
+    pub fn quantile(&self, kind: &str, probability: f64) -> u64 {
+        let bounds = (0..BUCKETS).map(|b| 2_f64.powf(b as f64 / BUCKETS_PER_OCTAVE));
+        let mut bounds = bounds.skip_while(|len| self.survival(kind, *len) > 1.0 - probability);
+        bounds.next().map_or(u64::MAX / 4, |len| len as u64)
     }
 
-    /// Returns the mean length of the pool's outputs, or `default` before the first one.
+    /// Returns the mean output length of the pool in tokens, or `default` before the first sample.
     pub fn mean(&self, default: u64) -> u64 {
         if self.pool.total > 0.0 { self.mean as u64 + 1 } else { default }
     }
--- a/crates/hatchpitch/src/admission/mod.rs
+++ b/crates/hatchpitch/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Who waits: requests of one pool in order of paid priority and fair service.
+//! Admission control: queues the requests of a pool by paid priority and fair queueing, and decides
+//! whether an engine has memory for another generation.
 
 pub mod gate;
 pub mod lengths;
--- a/crates/hatchpitch/src/admission/policy.rs
+++ b/crates/hatchpitch/src/admission/policy.rs
@@ -1,69 +1,69 @@
-//! Which decisions are taken how: one value, checked with the settings.
+//! Scheduling policy of a box: one value that is validated with the settings.
 
 use super::memory::MemoryPolicy;
 
-/// Standard deviations that memory keeps free above the mean of what will be held. A generation
-/// that is pushed out of a full memory pauses for the time in which its prompt is read again;
-/// with two deviations next to none is, and first tokens come no later.
+/// Default number of standard deviations that admission keeps free above the mean memory use. A
+/// generation that is preempted from a full memory stalls until its prompt has been prefilled
+/// again. With two deviations almost none is preempted, and first tokens come no later.
 pub const DEFAULT_DEVIATIONS: f64 = 2.0;
 
-/// Who decides where a request runs.
+/// Which box decides where a request runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Placement {
-    /// Each box for itself, on lagging reports.
+    /// Each box decides for its own requests, based on load reports that lag.
     Local,
-    /// The box that owns the engine.
+    /// The box that owns an engine decides for it.
     #[default]
     Owner,
 }
 
-/// In which order requests wait.
+/// Order in which waiting requests are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Order {
-    /// In the order in which they came.
+    /// In order of arrival.
     Arrival,
-    /// By paid priority, then by fair service.
+    /// By paid priority, then by fair queueing between workspaces.
     #[default]
     Fair,
 }
 
-/// Which of the fitting engines is taken.
+/// How one of the engines that have room is picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Pick {
-    /// Each in turn.
+    /// In rotation.
     RoundRobin,
-    /// The least loaded one.
+    /// The engine with the lowest load.
     #[default]
     LeastLoaded,
 }
 
-/// How requests are let in.
+/// Decisions of admission and routing, and the mechanisms that can be switched off.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Who decides.
+    /// Which box decides where a request runs.
     pub placement: Placement,
-    /// In which order requests wait.
+    /// Order in which waiting requests are served.
     pub order: Order,
-    /// Which engine is taken.
+    /// How an engine is picked.
     pub pick: Pick,
-    /// When an engine's memory is full.
+    /// When a generation is admitted to an engine's memory.
     pub memory: MemoryPolicy,
-    /// Whether running generations are moved off runners that leave.
+    /// Whether running generations are migrated off runners that shut down.
     pub moves: bool,
-    /// Whether a repeatable call that failed goes to a second upstream.
+    /// Whether a failed call to a repeatable route is retried at a second upstream.
     pub second_tries: bool,
-    /// Whether a generation that would wait too long is refused at once.
+    /// Whether a generation whose expected wait is too long is refused on arrival.
     pub early_refusal: bool,
     /// Whether upstreams of the box's own failure domain are preferred.
     pub near: bool,
-    /// Whether several owners are asked how busy their engines are.
+    /// Whether several owners are asked for the load of their engines before one is chosen.
     pub quotes: bool,
-    /// Whether upstreams that fail get no work for a while.
+    /// Whether failing upstreams are ejected, that is, get no work for a while.
     pub ejection: bool,
 }
 
 impl Policy {
-    /// The baseline that others are measured against: every decision the simplest way.
+    /// The baseline for comparisons: the simplest choice for every decision.
     pub const NAIVE: Self = Self {
         placement: Placement::Local,
         order: Order::Arrival,
--- a/crates/hatchpitch/src/admission/state.rs
+++ b/crates/hatchpitch/src/admission/state.rs
@@ -1,11 +1,10 @@
-//! The requests that wait for one pool, without I/O.
+//! Queue of the requests that wait for one pool, without I/O.
 //!
-//! Order: paid priority first; within a priority by start-time fair queueing,
-//! so workspaces that pay the same get the same service in tokens whatever
-//! their size. Requests that have waited for longer than they accept come after
-//! all others: served in their order they would make those behind them late as
-//! well. One grant in [`AdmissionConfig::oldest_every`] goes to the request that
-//! waits longest, which bounds every wait.
+//! Requests are served by paid priority and, within a priority, by start-time fair queueing, so
+//! that workspaces of the same priority receive the same service in tokens whatever their demand.
+//! Requests that have waited for longer than their acceptable wait are overdue and come after all
+//! others, since serving them in order would make the requests behind them overdue as well. One in
+//! [`AdmissionConfig::oldest_every`] grants goes to the oldest request, which bounds every wait.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -14,21 +13,21 @@
 use super::policy::Order;
 use crate::ids::{Priority, WorkspaceName};
 
-/// Names a waiting request; later requests have larger tickets.
+/// Identifies a waiting request. Tickets increase in order of arrival.
 pub type Ticket = u64;
-/// Virtual service of a workspace, in tokens.
+/// Virtual time of the fair queue, in tokens of service.
 pub type ServiceTag = u64;
 
-/// Bounds of a queue.
+/// Configuration of an [`AdmissionQueue`].
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionConfig {
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
-    /// Longest time a request may wait.
+    /// Maximum time that a request may wait.
     pub max_wait: Duration,
-    /// One grant in so many goes to the oldest request.
+    /// One in this many grants goes to the oldest request.
     pub oldest_every: u64,
-    /// In which order requests wait.
+    /// Order in which waiting requests are served.
     pub order: Order,
 }
 
@@ -43,62 +42,65 @@
     }
 }
 
-/// A request that wants to run.
+/// A request as the queue sees it.
 #[derive(Debug, Clone)]
 pub struct Waiter {
-    /// Who asks.
+    /// Workspace that sent it.
     pub workspace: WorkspaceName,
-    /// What it pays for.
+    /// Priority that the workspace pays for.
     pub priority: Priority,
-    /// Expected tokens of prompt and output.
+    /// Expected length of prompt and output, in tokens.
     pub cost: u64,
-    /// When it came.
+    /// Time of arrival.
     pub since: Instant,
-    /// Expected wait beyond which it is refused at once instead of waiting.
+    /// Expected wait above which it is refused on arrival. Once it has waited for this long, it is
+    /// overdue.
     pub acceptable_wait: Duration,
 }
 
-/// What became of a request that came.
+/// Result of [`AdmissionQueue::enqueue`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Enqueued {
-    /// It waits.
+    /// The request waits.
     Waiting(Ticket),
-    /// It waits in the place of another one, which is refused.
+    /// The request waits in place of another one, which is refused.
     Displaced {
-        /// The request that waits.
+        /// Ticket of the new request.
         ticket: Ticket,
-        /// The request that is refused at once.
+        /// Ticket of the request that is refused.
         refused: Ticket,
     },
-    /// It is refused at once.
+    /// The request is refused.
     Refused,
 }
 
+/// Sort key of a waiting request; the smallest one is served first.
 type OrderKey = (Reverse<Priority>, ServiceTag, Ticket);
 
 #[derive(Debug, Clone)]
 pub(super) struct Queued {
     pub(super) waiter: Waiter,
-    pub(super) order: OrderKey,
-    /// Grants that went past it because it found no room.
-    pub(super) passed: u32,
+    pub(super) key: OrderKey,
+    /// Number of grants to requests behind it, made because no runner had room for it.
+    pub(super) bypassed: u32,
 }
 
 /// The waiting requests of one pool.
 #[derive(Debug, Clone)]
 pub struct AdmissionQueue {
     pub(super) cfg: AdmissionConfig,
-    /// Requests that are in time.
-    pub(super) order: BTreeSet<OrderKey>,
-    /// Requests that have waited for longer than they accept.
-    pub(super) late: BTreeSet<OrderKey>,
+    /// Requests that are not overdue.
+    pub(super) on_time: BTreeSet<OrderKey>,
+    /// Requests that have waited for longer than their acceptable wait.
+    pub(super) overdue: BTreeSet<OrderKey>,
     pub(super) queued: BTreeMap<Ticket, Queued>,
-    tags: HashMap<WorkspaceName, ServiceTag>,
+    /// Virtual finish time of the last request of each workspace.
+    finish_tags: HashMap<WorkspaceName, ServiceTag>,
     virtual_time: ServiceTag,
     next_ticket: Ticket,
     grants: u64,
-    /// Smoothed time between grants, for estimates of the wait.
-    grant_gap: Option<Duration>,
+    /// Smoothed time between grants, for wait estimates.
+    grant_interval: Option<Duration>,
     last_grant: Option<Instant>,
 }
 
@@ -107,24 +109,24 @@
     pub fn new(cfg: AdmissionConfig) -> Self {
         Self {
             cfg,
-            order: BTreeSet::new(),
-            late: BTreeSet::new(),
+            on_time: BTreeSet::new(),
+            overdue: BTreeSet::new(),
             queued: BTreeMap::new(),
-            tags: HashMap::new(),
+            finish_tags: HashMap::new(),
             virtual_time: 0,
             next_ticket: 0,
             grants: 0,
-            grant_gap: None,
+            grant_interval: None,
             last_grant: None,
         }
     }
 
-    /// Changes the bounds.
+    /// Replaces the configuration.
     pub fn configure(&mut self, cfg: AdmissionConfig) {
         self.cfg = cfg;
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.queued.len()
     }
@@ -134,12 +136,14 @@
         self.queued.is_empty()
     }
 
-    /// Returns the tickets of the requests that wait, oldest first.
+    /// Iterates over the tickets of the waiting requests, oldest first.
     pub fn tickets(&self) -> impl Iterator<Item = Ticket> {
         self.queued.keys().copied()
     }
 
-    /// Puts a request into the queue, or refuses it or the one that would be served last.
+    /// Adds a request to the queue, or refuses it if its expected wait is too long. If the queue is
+    /// full, the request displaces the one that would be served last, provided that the order is
+    /// fair and that one has a lower priority; otherwise it is refused.
     pub fn enqueue(&mut self, waiter: Waiter) -> Enqueued {
         let wait = self.expected_wait(&waiter.workspace, waiter.priority);
         if wait > self.cfg.max_wait.min(waiter.acceptable_wait) {
@@ -148,7 +152,7 @@
         if self.queued.len() < self.cfg.max_waiting {
             return Enqueued::Waiting(self.insert(waiter));
         }
-        let last = self.late.last().max(self.order.last()).copied();
+        let last = self.overdue.last().max(self.on_time.last()).copied();
         match last {
             Some((Reverse(priority), _, refused))
                 if priority < waiter.priority && self.cfg.order == Order::Fair =>
@@ -160,93 +164,94 @@
         }
     }
 
-    /// Puts the requests behind all others that have waited for longer than they accept.
+    /// Moves requests that have waited for longer than their acceptable wait behind all others.
     pub fn demote_overdue(&mut self, now: Instant) {
-        let is_late = |queued: &Queued| {
+        let is_overdue = |queued: &Queued| {
             now.duration_since(queued.waiter.since) >= queued.waiter.acceptable_wait
         };
-        for queued in self.queued.values().filter(|queued| is_late(queued)) {
-            if self.order.remove(&queued.order) {
-                self.late.insert(queued.order);
+        for queued in self.queued.values().filter(|queued| is_overdue(queued)) {
+            if self.on_time.remove(&queued.key) {
+                self.overdue.insert(queued.key);
             }
         }
     }
 
-    /// Takes the request that is served next.
+    /// Removes and returns the request that is served next.
     pub fn grant(&mut self, now: Instant) -> Option<(Ticket, Waiter)> {
         let ticket = self.candidates().next()?;
         self.grant_to(ticket, now)
     }
 
-    /// Takes a request that is served although others come before it.
+    /// Removes and returns a request that is granted, possibly ahead of others in the queue.
     pub fn grant_to(&mut self, ticket: Ticket, now: Instant) -> Option<(Ticket, Waiter)> {
         self.grants += 1;
-        self.note_gap(now);
+        self.record_grant_interval(now);
         let queued = self.remove(ticket)?;
-        self.virtual_time = self.virtual_time.max(queued.order.1);
+        self.virtual_time = self.virtual_time.max(queued.key.1);
         Some((ticket, queued.waiter))
     }
 
-    /// Takes a request that gave up.
+    /// Removes a request that was cancelled.
     pub fn cancel(&mut self, ticket: Ticket) -> Option<Waiter> {
         self.remove(ticket).map(|queued| queued.waiter)
     }
 
-    /// Takes the requests that have waited too long.
+    /// Removes the requests that have waited for `max_wait`, and returns their tickets.
     pub fn expire(&mut self, now: Instant) -> Vec<Ticket> {
         let max_wait = self.cfg.max_wait;
         let waited = |q: &Queued| now.duration_since(q.waiter.since);
-        let late = self.queued.iter().take_while(|(_, q)| waited(q) >= max_wait);
-        let late: Vec<Ticket> = late.map(|(ticket, _)| *ticket).collect();
-        for ticket in &late {
+        let expired = self.queued.iter().take_while(|(_, q)| waited(q) >= max_wait);
+        let expired: Vec<Ticket> = expired.map(|(ticket, _)| *ticket).collect();
+        for ticket in &expired {
             self.remove(*ticket);
         }
-        late
+        expired
     }
 
-    /// Charges a request that runs without having waited, and returns to its workspace what a
-    /// finished request cost less than expected.
+    /// Charges a workspace for a request of the given expected cost, in tokens.
     pub fn charge(&mut self, workspace: &str, cost: u64) {
         let start = self.start_tag(workspace);
-        self.tags.insert(workspace.to_owned(), start.saturating_add(cost));
+        self.finish_tags.insert(workspace.to_owned(), start.saturating_add(cost));
     }
 
-    /// Corrects the service of a workspace once the real cost is known.
-    pub fn correct(&mut self, workspace: &str, expected: u64, real: u64) {
-        if let Some(tag) = self.tags.get_mut(workspace) {
-            *tag = tag.saturating_add(real).saturating_sub(expected);
+    /// Replaces the expected cost of a request by the actual one in the account of its workspace.
+    pub fn correct(&mut self, workspace: &str, expected: u64, actual: u64) {
+        if let Some(tag) = self.finish_tags.get_mut(workspace) {
+            *tag = tag.saturating_add(actual).saturating_sub(expected);
         }
         let virtual_time = self.virtual_time;
-        if self.tags.len() > MAX_TAGS {
-            self.tags.retain(|_, tag| *tag > virtual_time);
+        if self.finish_tags.len() > MAX_FINISH_TAGS {
+            self.finish_tags.retain(|_, tag| *tag > virtual_time);
         }
     }
 
-    /// Returns how long a request would wait: those before it in the order count, so that a
-    /// workspace behind its share of the service is not turned away for the line of another one.
+    /// Returns the expected wait of a request. Only the requests that would be served before it
+    /// count, so that a workspace below its fair share is not refused because of another
+    /// workspace's backlog.
     pub fn expected_wait(&self, workspace: &str, priority: Priority) -> Duration {
-        let Some(gap) = self.grant_gap else { return Duration::ZERO };
-        let place = self.order_key(workspace, priority, Ticket::MAX);
-        let ahead = self.order.range(..place).take(COUNTED_UP_TO).count();
-        gap.saturating_mul(u32::try_from(ahead).unwrap_or(u32::MAX))
+        let Some(interval) = self.grant_interval else { return Duration::ZERO };
+        let key = self.order_key(workspace, priority, Ticket::MAX);
+        let ahead = self.on_time.range(..key).take(MAX_COUNTED).count();
+        interval.saturating_mul(u32::try_from(ahead).unwrap_or(u32::MAX))
     }
 
-    /// Returns when a refused caller may come back.
+    /// Returns the time after which a refused caller should retry.
     pub fn retry_after(&self, workspace: &str, priority: Priority) -> Duration {
         self.expected_wait(workspace, priority).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Iterates over the requests that may be served next, in the order in which they are tried;
-    /// the one that waits longest may come twice. Within a priority, those come that the first one
-    /// leaves room for in fair service: one that goes past it because it found no room takes what
-    /// was its workspace's to take.
+    /// Iterates over the requests that may be served next, in the order in which to try them. The
+    /// oldest request may come twice. Within a priority, only requests with a start tag up to the
+    /// finish tag of the first one are eligible: a request that bypasses the first one uses service
+    /// that was due to the workspace of the first one.
     pub fn candidates(&self) -> impl Iterator<Item = Ticket> {
         let oldest_first = (self.grants + 1).is_multiple_of(self.cfg.oldest_every);
         let oldest = self.queued.keys().take(usize::from(oldest_first)).copied();
-        oldest.chain(self.in_turn(&self.order)).chain(self.in_turn(&self.late))
+        oldest.chain(self.eligible(&self.on_time)).chain(self.eligible(&self.overdue))
     }
 
-    fn in_turn<'a>(&'a self, order: &'a BTreeSet<OrderKey>) -> impl Iterator<Item = Ticket> + 'a {
+    /// Iterates over the requests of `order` that fair queueing allows to be served next.
+    fn eligible<'a>(&'a self, order: &'a BTreeSet<OrderKey>) -> impl Iterator<Item = Ticket> + 'a {
         let mut bound: Option<(Reverse<Priority>, ServiceTag)> = None;
         order.iter().filter_map(move |(priority, tag, ticket)| {
             if bound.is_none_or(|(first, _)| first != *priority) {
@@ -257,39 +262,40 @@
         })
     }
 
-    /// Notes that another request goes past these, which found no room.
+    /// Records that a later request was granted ahead of these, for which no runner had room.
     pub fn record_bypass(&mut self, tickets: &[Ticket]) {
         for ticket in tickets {
             if let Some(queued) = self.queued.get_mut(ticket) {
-                queued.passed += 1;
+                queued.bypassed += 1;
             }
         }
     }
 
-    /// Returns how long a request has waited.
+    /// Returns how long a request has waited, or `None` if it does not wait.
     pub fn waited(&self, ticket: Ticket, now: Instant) -> Option<Duration> {
         self.queued.get(&ticket).map(|queued| now.duration_since(queued.waiter.since))
     }
 
-    /// Returns how many requests went past one because it found no room.
+    /// Returns the number of later requests granted ahead of this one because no runner had room
+    /// for it.
     pub fn bypass_count(&self, ticket: Ticket) -> u32 {
-        self.queued.get(&ticket).map_or(0, |queued| queued.passed)
+        self.queued.get(&ticket).map_or(0, |queued| queued.bypassed)
     }
 
     fn insert(&mut self, waiter: Waiter) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let order = self.order_key(&waiter.workspace, waiter.priority, ticket);
+        let key = self.order_key(&waiter.workspace, waiter.priority, ticket);
         self.charge(&waiter.workspace, waiter.cost);
-        self.order.insert(order);
-        self.queued.insert(ticket, Queued { waiter, order, passed: 0 });
+        self.on_time.insert(key);
+        self.queued.insert(ticket, Queued { waiter, key, bypassed: 0 });
         ticket
     }
 
     fn remove(&mut self, ticket: Ticket) -> Option<Queued> {
         let queued = self.queued.remove(&ticket)?;
-        if !self.order.remove(&queued.order) {
-            self.late.remove(&queued.order);
+        if !self.on_time.remove(&queued.key) {
+            self.overdue.remove(&queued.key);
         }
         Some(queued)
     }
@@ -301,25 +307,29 @@
         }
     }
 
+    /// Returns the virtual time at which the next request of a workspace starts.
     fn start_tag(&self, workspace: &str) -> ServiceTag {
-        self.tags.get(workspace).copied().unwrap_or(0).max(self.virtual_time)
+        self.finish_tags.get(workspace).copied().unwrap_or(0).max(self.virtual_time)
     }
 
-    fn note_gap(&mut self, now: Instant) {
+    fn record_grant_interval(&mut self, now: Instant) {
         if let Some(last) = self.last_grant {
-            let gap = now.duration_since(last).min(MAX_GAP);
-            let smoothed = self.grant_gap.map_or(gap, |old| (old * 7 + gap) / 8);
-            self.grant_gap = Some(smoothed);
+            let interval = now.duration_since(last).min(MAX_GRANT_INTERVAL);
+            let smoothed = self.grant_interval.map_or(interval, |old| (old * 7 + interval) / 8);
+            self.grant_interval = Some(smoothed);
         }
         self.last_grant = Some(now);
     }
 }
 
-/// Workspaces whose service is remembered beyond the present virtual time.
-const MAX_TAGS: usize = 16_384;
-/// Requests ahead that are counted: more of them never make a wait that is accepted.
-const COUNTED_UP_TO: usize = 512;
-/// Longest gap between grants taken into the estimate: idle time is not waiting time.
-const MAX_GAP: Duration = Duration::from_secs(1);
+/// Number of finish tags above which those that the virtual time has passed are discarded.
+const MAX_FINISH_TAGS: usize = 16_384;
+/// Limit on the requests ahead that a wait estimate counts. With more than these, the wait is never
+/// acceptable.
+const MAX_COUNTED: usize = 512;
+/// Upper bound on a sampled time between grants, since idle time is not waiting time.
+const MAX_GRANT_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time after which a refused caller should retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum time after which a refused caller should retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
--- a/crates/hatchpitch/src/routing/state.rs
+++ b/crates/hatchpitch/src/routing/state.rs
@@ -532,6 +532,6 @@
         let slots = self.spec.slots.max(1) as f64;
         let waiting = self.load.as_ref().map_or(0.0, |load| load.waiting as f64);
         let reading = self.reading.seconds(now);
-        (self.running as f64 + waiting) / slots + self.memory.share(now) + reading
+        (self.running as f64 + waiting) / slots + self.memory.utilization(now) + reading
     }
 }
--- a/crates/hatchpitch/tests/admission.rs
+++ b/crates/hatchpitch/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Decisions of admission: order, fairness, bounds, and the naive version beside them.
+//! Admission queue (order, fairness, limits, comparison with the arrival order), length model and
+//! memory model.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -19,14 +20,15 @@
     }
 }
 
-fn no_aging() -> AdmissionConfig {
+/// Configuration without the grants to the oldest request.
+fn no_oldest_first() -> AdmissionConfig {
     AdmissionConfig { oldest_every: u64::MAX, max_waiting: 1_000, ..AdmissionConfig::default() }
 }
 
 #[test]
-fn a_higher_priority_is_served_first_and_displaces_the_last() {
+fn higher_priority_is_served_first_and_displaces_the_last() {
     let now = Instant::now();
-    let cfg = AdmissionConfig { max_waiting: 2, ..no_aging() };
+    let cfg = AdmissionConfig { max_waiting: 2, ..no_oldest_first() };
     let mut queue = AdmissionQueue::new(cfg);
     assert_eq!(queue.enqueue(waiter("a", 1, 10, now)), Enqueued::Waiting(0));
     assert_eq!(queue.enqueue(waiter("b", 5, 10, now)), Enqueued::Waiting(1));
@@ -38,10 +40,10 @@
 }
 
 #[test]
-fn equal_payers_get_equal_service_in_tokens_whatever_they_ask_for() {
+fn equal_priorities_get_equal_service_in_tokens() {
     let now = Instant::now();
-    let mut queue = AdmissionQueue::new(no_aging());
-    // A large workspace floods the queue with long requests before a small one asks.
+    let mut queue = AdmissionQueue::new(no_oldest_first());
+    // One workspace floods the queue with long requests before another sends short ones.
     for _ in 0..300 {
         queue.enqueue(waiter("large", 5, 400, now));
     }
@@ -59,10 +61,10 @@
 }
 
 #[test]
-fn who_would_wait_longer_than_it_accepts_is_refused_at_once() {
+fn refuses_a_request_above_its_acceptable_wait() {
     let now = Instant::now();
-    let mut queue = AdmissionQueue::new(no_aging());
-    // Grants come every 200 ms, and four wait.
+    let mut queue = AdmissionQueue::new(no_oldest_first());
+    // Grants are 200 ms apart, and four requests wait.
     for i in 0..8 {
         queue.enqueue(waiter("a", 5, 10, now));
         queue.grant(now + Duration::from_millis(200 * i));
@@ -70,40 +72,40 @@
     for _ in 0..4 {
         queue.enqueue(waiter("a", 5, 10, now));
     }
-    let accepts =
+    let with_acceptable_wait =
         |ms| Waiter { acceptable_wait: Duration::from_millis(ms), ..waiter("a", 5, 10, now) };
-    assert_eq!(queue.enqueue(accepts(700)), Enqueued::Refused);
+    assert_eq!(queue.enqueue(with_acceptable_wait(700)), Enqueued::Refused);
     assert!(queue.retry_after("a", 5) >= Duration::from_millis(800));
-    // Another workspace has had no service yet, and is next.
-    let other = Waiter { workspace: "b".to_owned(), ..accepts(700) };
+    // Another workspace has received no service yet, so its request is next.
+    let other = Waiter { workspace: "b".to_owned(), ..with_acceptable_wait(700) };
     assert_eq!(queue.expected_wait("b", 5), Duration::ZERO);
     assert!(matches!(queue.enqueue(other), Enqueued::Waiting(_)));
-    // Who pays more waits for nobody here.
-    let urgent = Waiter { priority: 9, ..accepts(100) };
+    // A request of a higher priority has nothing ahead of it.
+    let urgent = Waiter { priority: 9, ..with_acceptable_wait(100) };
     assert!(matches!(queue.enqueue(urgent), Enqueued::Waiting(_)));
-    assert!(matches!(queue.enqueue(accepts(1_500)), Enqueued::Waiting(_)));
+    assert!(matches!(queue.enqueue(with_acceptable_wait(1_500)), Enqueued::Waiting(_)));
     verify(&queue).unwrap();
 }
 
 #[test]
-fn the_lowest_priority_is_served_in_the_end() {
+fn low_priority_is_not_starved() {
     let now = Instant::now();
-    let cfg = AdmissionConfig { oldest_every: 16, max_waiting: 1_000, ..no_aging() };
+    let cfg = AdmissionConfig { oldest_every: 16, max_waiting: 1_000, ..no_oldest_first() };
     let mut queue = AdmissionQueue::new(cfg);
-    queue.enqueue(waiter("poor", 1, 10, now));
+    queue.enqueue(waiter("low", 1, 10, now));
     for _ in 0..500 {
-        queue.enqueue(waiter("rich", 9, 10, now));
+        queue.enqueue(waiter("high", 9, 10, now));
     }
-    let place = (0..500).find(|_| queue.grant(now).unwrap().1.workspace == "poor");
+    let place = (0..500).find(|_| queue.grant(now).unwrap().1.workspace == "low");
     assert!(place.unwrap() < 16, "{place:?}");
 }
 
 #[test]
-fn a_request_that_waited_too_long_is_given_up_at_once() {
+fn expires_requests_at_the_maximum_wait() {
     let now = Instant::now();
-    let mut queue = AdmissionQueue::new(no_aging());
+    let mut queue = AdmissionQueue::new(no_oldest_first());
     queue.enqueue(waiter("a", 5, 10, now));
-    let max_wait = no_aging().max_wait;
+    let max_wait = no_oldest_first().max_wait;
     queue.enqueue(waiter("b", 5, 10, now + max_wait / 2));
     assert_eq!(queue.expire(now + max_wait), [0]);
     assert_eq!(queue.len(), 1);
@@ -111,9 +113,9 @@
 }
 
 #[test]
-fn a_request_that_would_wait_too_long_is_refused_when_it_comes() {
+fn refuses_a_request_above_the_maximum_wait() {
     let mut now = Instant::now();
-    let mut queue = AdmissionQueue::new(no_aging());
+    let mut queue = AdmissionQueue::new(no_oldest_first());
     for _ in 0..100 {
         queue.enqueue(waiter("a", 5, 10, now));
     }
@@ -127,34 +129,34 @@
     assert!(matches!(queue.enqueue(waiter("c", 9, 10, now)), Enqueued::Waiting(_)));
 }
 
-/// The same random arrivals and grants through the queue and its naive version.
+/// Applies the same random arrivals and grants to a queue in fair order and one in arrival order.
 #[test]
-fn the_same_requests_are_served_by_the_fair_and_the_naive_order() {
+fn fair_and_arrival_order_serve_the_same_requests() {
     for seed in 0..50_u64 {
         arbtest::arbtest(|u| {
             let now = Instant::now();
-            let mut fair = AdmissionQueue::new(no_aging());
-            let naive = AdmissionConfig { order: Order::Arrival, ..no_aging() };
-            let mut naive = AdmissionQueue::new(naive);
-            let (mut by_fair, mut by_naive) = (Vec::new(), Vec::new());
+            let mut fair = AdmissionQueue::new(no_oldest_first());
+            let cfg = AdmissionConfig { order: Order::Arrival, ..no_oldest_first() };
+            let mut arrival = AdmissionQueue::new(cfg);
+            let (mut served_fair, mut served_arrival) = (Vec::new(), Vec::new());
             for _ in 0..200 {
                 if u.ratio(2, 3)? {
                     let name = format!("w{}", u.int_in_range(0..=5)?);
                     let one = waiter(&name, u.int_in_range(1..=9)?, u.int_in_range(1..=900)?, now);
-                    assert_eq!(fair.enqueue(one.clone()), naive.enqueue(one));
+                    assert_eq!(fair.enqueue(one.clone()), arrival.enqueue(one));
                 } else {
-                    by_fair.extend(fair.grant(now).map(|(ticket, _)| ticket));
-                    by_naive.extend(naive.grant(now).map(|(ticket, _)| ticket));
+                    served_fair.extend(fair.grant(now).map(|(ticket, _)| ticket));
+                    served_arrival.extend(arrival.grant(now).map(|(ticket, _)| ticket));
                 }
                 verify(&fair).unwrap();
-                verify(&naive).unwrap();
-                assert_eq!(fair.len(), naive.len());
+                verify(&arrival).unwrap();
+                assert_eq!(fair.len(), arrival.len());
             }
-            by_fair.extend(std::iter::from_fn(|| fair.grant(now).map(|(t, _)| t)));
-            by_naive.extend(std::iter::from_fn(|| naive.grant(now).map(|(t, _)| t)));
-            assert!(by_naive.is_sorted(), "the naive order is that of arrival");
-            by_fair.sort_unstable();
-            assert_eq!(by_fair, by_naive, "nobody is lost and nobody served twice");
+            served_fair.extend(std::iter::from_fn(|| fair.grant(now).map(|(t, _)| t)));
+            served_arrival.extend(std::iter::from_fn(|| arrival.grant(now).map(|(t, _)| t)));
+            assert!(served_arrival.is_sorted(), "served in order of arrival");
+            served_fair.sort_unstable();
+            assert_eq!(served_fair, served_arrival, "no request is lost or served twice");
             Ok(())
         })
         .seed(seed << 32 | 0x8000)
@@ -174,8 +176,8 @@
     }
 }
 
-/// Counts how many requests an empty engine lets in.
-fn let_in(policy: MemoryPolicy, lengths: &LengthModel) -> usize {
+/// Returns how many requests an empty engine admits.
+fn admitted(policy: MemoryPolicy, lengths: &LengthModel) -> usize {
     let now = Instant::now();
     let mut memory = EngineMemory::default();
     memory.report(&report(0, 4_000), now);
@@ -190,41 +192,41 @@
 }
 
 #[test]
-fn learned_lengths_decide_how_many_fit() {
+fn admits_by_learned_lengths() {
     let (mut short, mut long) = (LengthModel::default(), LengthModel::default());
     for _ in 0..2_000 {
         short.observe("w", 10);
         long.observe("w", 800);
     }
     let policy = MemoryPolicy::Survival(3.0);
-    let (many, few) = (let_in(policy, &short), let_in(policy, &long));
-    assert!(many > 40, "short answers: {many}");
-    assert!((2..=5).contains(&few), "long answers: {few}");
-    assert_eq!(let_in(MemoryPolicy::Unlimited, &long), 1_000);
+    let (many, few) = (admitted(policy, &short), admitted(policy, &long));
+    assert!(many > 40, "short outputs: {many}");
+    assert!((2..=5).contains(&few), "long outputs: {few}");
+    assert_eq!(admitted(MemoryPolicy::Unlimited, &long), 1_000);
 }
 
 #[test]
-fn survival_falls_and_follows_what_was_seen() {
+fn survival_is_monotonic_and_follows_the_samples() {
     let mut lengths = LengthModel::default();
     for i in 0..2_000_u64 {
         lengths.observe("w", 1 + i % 100);
     }
-    let chances: Vec<f64> = (0..200).map(|t| lengths.survival("w", f64::from(t))).collect();
-    assert!(chances.windows(2).all(|pair| pair[0] >= pair[1]));
-    assert!((0.4..0.6).contains(&chances[50]), "{}", chances[50]);
-    assert!(chances[150] < 0.02, "{}", chances[150]);
+    let survival: Vec<f64> = (0..200).map(|t| lengths.survival("w", f64::from(t))).collect();
+    assert!(survival.windows(2).all(|pair| pair[0] >= pair[1]));
+    assert!((0.4..0.6).contains(&survival[50]), "{}", survival[50]);
+    assert!(survival[150] < 0.02, "{}", survival[150]);
     let quantile = lengths.quantile("w", 0.9);
     assert!((80..=110).contains(&quantile), "{quantile}");
 }
 
 #[test]
-fn use_by_others_counts_and_a_lagging_report_does_not_count_twice() {
+fn unattributed_use_is_the_minimum_over_recent_reports() {
     let now = Instant::now();
     let mut memory = EngineMemory::default();
     for _ in 0..4 {
         memory.report(&report(1_000, 2_000), now);
     }
-    assert!((0.45..0.55).contains(&memory.share(now)));
+    assert!((0.45..0.55).contains(&memory.utilization(now)));
     memory.report(&report(0, 2_000), now);
-    assert!(memory.share(now) < 0.01);
+    assert!(memory.utilization(now) < 0.01);
 }
