--- a/crates/hatchpitch/src/backlog_monitor.rs
+++ b/crates/hatchpitch/src/backlog_monitor.rs
@@ -1,7 +1,7 @@
-//! Logs how much waits to be sent to other boxes, each time that it has doubled.
+//! Logs the backlog of messages to other boxes each time its peak has doubled.
 //!
-//! A process that is ended for its memory writes nothing at its end; the last of these lines
-//! tells whether what it had to send was the reason.
+//! A process that the kernel kills for lack of memory logs nothing at its end. The last of these
+//! lines shows whether the send backlog was the cause.
 
 use std::time::Duration;
 
@@ -9,27 +9,28 @@
 
 use crate::metrics::resident_bytes;
 
-/// Bytes from which on a line is written: ten times what waits on a box at its usual load.
-const FIRST_NOTE: usize = 1024 * 1024;
-/// Time between looks: memory has been seen to fill within a second.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+/// Peak backlog at which the first line is logged, in bytes: ten times the backlog of a box at its
+/// usual load.
+const FIRST_LOG_THRESHOLD: usize = 1024 * 1024;
+/// Sampling interval. Memory has been seen to fill up within a second.
+const SAMPLE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Looks until `stop`.
+/// Samples the backlog until `stop` is set.
 pub async fn run(client: BoxClient, stop: Stop) {
-    let mut next_note = FIRST_NOTE;
+    let mut threshold = FIRST_LOG_THRESHOLD;
     while !stop.is_set() {
-        compio::time::sleep(LOOK_PERIOD).await;
-        let waiting = client.backlog().waiting();
-        if waiting.peak_bytes < next_note {
+        compio::time::sleep(SAMPLE_PERIOD).await;
+        let backlog = client.backlog().waiting();
+        if backlog.peak_bytes < threshold {
             continue;
         }
         log::info!(
-            peak_bytes = waiting.peak_bytes, bytes = waiting.bytes, messages = waiting.messages,
+            peak_bytes = backlog.peak_bytes, bytes = backlog.bytes, messages = backlog.messages,
             resident_bytes = resident_bytes().unwrap_or(0);
             "more than ever waits to be sent to other boxes"
         );
-        while next_note <= waiting.peak_bytes {
-            next_note *= 2;
+        while threshold <= backlog.peak_bytes {
+            threshold *= 2;
         }
     }
 }
--- a/crates/hatchpitch/src/routing/mod.rs
+++ b/crates/hatchpitch/src/routing/mod.rs
@@ -1,10 +1,10 @@
-//! Where a request runs: the state of each runner as one box sees it.
+//! Runner selection: the state of each runner as seen by one box, and the choice between them.
 
-pub mod reading;
+pub mod prefill;
 pub mod state;
 pub mod task;
 pub mod verify;
-pub mod warming;
+pub mod warmup;
 
 pub use state::{RoutingConfig, RunReport, RunnerTable, Verdict};
-pub use warming::ColdLimit;
+pub use warmup::ColdLimit;
--- a/crates/hatchpitch/src/routing/state.rs
+++ b/crates/hatchpitch/src/routing/state.rs
@@ -1,8 +1,8 @@
-//! The runners of one pool as one box sees them, without I/O.
+//! The runners of one pool as seen by one box, without I/O.
 //!
-//! What this box runs itself is known exactly; load reports lag and only break
-//! ties between runners. A runner that fails is ejected for a time that
-//! doubles, and comes back with one request at a time until one succeeds.
+//! The requests that this box itself placed on a runner are known exactly; load reports lag and
+//! only break ties between runners. A runner that fails is ejected for a time that doubles with
+//! each failure, and is readmitted with one request at a time until one succeeds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::reading::Reading;
-use super::warming::{ColdLimit, Warming};
+use super::prefill::PrefillBacklog;
+use super::warmup::{ColdLimit, WarmupLimiter};
 use crate::admission::lengths::LengthModel;
 use crate::admission::memory::{Candidate, EngineMemory, MemoryPolicy};
 use crate::admission::policy::Pick;
@@ -19,18 +19,18 @@
 use crate::ids::{AttemptId, FailureDomainName, Priority, RunnerName};
 use crate::upstream_heads::SharedSignals;
 
-/// Bounds of ejection.
+/// Configuration of ejection and of the choice between runners.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingConfig {
-    /// First time of ejection.
+    /// Duration of the first ejection.
     pub eject_min: Duration,
-    /// Longest time of ejection.
+    /// Maximum duration of an ejection.
     pub eject_max: Duration,
-    /// Whether runners that fail are ejected at all.
+    /// Whether failing runners are ejected.
     pub ejects: bool,
-    /// Which of the fitting runners is taken.
+    /// How one of the runners that have room is picked.
     pub pick: Pick,
-    /// When a runner's memory is full.
+    /// When a generation is admitted to a runner's memory.
     pub memory: MemoryPolicy,
 }
 
@@ -49,157 +49,168 @@
 /// A runner as the fleet file defines it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunnerSpec {
-    /// Its name.
+    /// Name of the runner.
     pub name: RunnerName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that it is in.
     pub failure_domain: FailureDomainName,
-    /// Requests that this box may run on it at once.
+    /// Number of requests that this box may run on it concurrently.
     pub slots: u64,
-    /// Size of its memory in tokens, where it is known without a report.
+    /// Size of its memory in tokens, where it is known without a load report.
     pub memory: Option<u64>,
-    /// Tokens of copied memory that its link takes in a second; infinite if none are copied.
+    /// Rate at which its link receives copied KV cache, in tokens per second; infinite if none is
+    /// copied.
     pub copy_rate: f64,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct RunnerState {
     pub(super) spec: RunnerSpec,
+    /// Requests of this box that run on it.
     pub(super) running: u64,
-    /// Whether the fleet file still holds it.
+    /// Whether it is still in the fleet file.
     pub(super) configured: bool,
-    /// Whether membership lets it take new work.
+    /// Whether it takes new work according to membership.
     pub(super) serving: bool,
+    /// Failures since the last success that led to an ejection.
     pub(super) failures: u32,
-    /// Faulty answers since the last good one, none of which led to an ejection.
+    /// Faulty answers since the last success that have not led to an ejection; at most 1.
     pub(super) faults: u32,
     pub(super) ejected_until: Option<Instant>,
     pub(super) load: Option<EngineLoad>,
     pub(super) memory: EngineMemory,
-    /// Prompts to be read.
-    pub(super) reading: Reading,
-    /// Copies on their way here.
-    pub(super) copies: Backlog,
-    /// Whether it is cold, and what it bears then.
-    pub(super) warming: Warming,
+    /// Prompts that it has yet to prefill.
+    pub(super) prefill: PrefillBacklog,
+    /// KV cache that is being copied to it.
+    pub(super) copies: CopyBacklog,
+    /// Limits the requests of this box while it is cold.
+    pub(super) warmup: WarmupLimiter,
+    /// Rate limit while it is cold, if there is one.
     pub(super) cold_limit: Option<ColdLimit>,
 }
 
-/// Tokens that a runner has still to take in, worked down by the clock.
+/// Tokens of copied KV cache that a runner has yet to receive, drained over time at the rate of its
+/// link.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Backlog {
+pub(super) struct CopyBacklog {
     tokens: f64,
-    at: Option<Instant>,
+    updated: Option<Instant>,
 }
 
-/// Time for which an engine may have prompts to read and still get more. What waits in an engine
-/// is read in the order of its arrival; what waits here goes by what was paid and by fair
-/// service. This long keeps engines busy, and leaves half of the usual time to a first token.
-const MAX_READING: f64 = 0.8;
+/// Prefill backlog above which an engine gets no further prompts, in seconds. Prompts that wait in
+/// an engine are prefilled in order of arrival; requests that wait in this box are ordered by
+/// priority and fair queueing. This value keeps engines busy, and leaves half of the usual time to
+/// first token.
+const MAX_PREFILL_BACKLOG: f64 = 0.8;
 
-impl Backlog {
-    /// Adds tokens; `rate` is how many are taken in a second.
+impl CopyBacklog {
+    /// Adds tokens; `rate` is in tokens per second.
     fn add(&mut self, tokens: f64, rate: f64, now: Instant) {
-        self.tokens = self.left(rate, now) + tokens;
-        self.at = Some(now);
+        self.tokens = self.remaining(rate, now) + tokens;
+        self.updated = Some(now);
     }
 
-    /// Returns the tokens that are left.
-    fn left(&self, rate: f64, now: Instant) -> f64 {
-        let passed = self.at.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
-        (self.tokens - passed * rate).max(0.0)
+    /// Returns the tokens that are yet to be received.
+    fn remaining(&self, rate: f64, now: Instant) -> f64 {
+        let elapsed = self.updated.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+        (self.tokens - elapsed * rate).max(0.0)
     }
 }
 
-/// Tokens a second that a runner makes for one generation, and that it reads of prompts.
+/// Rates of a runner in tokens per second: decode of one generation, and prefill of prompts.
 #[derive(Debug, Clone, Copy)]
-struct Pace {
-    made: f64,
-    read: f64,
+struct TokenRates {
+    decode: f64,
+    prefill: f64,
 }
 
-/// What a run says about its runner.
+/// Evidence that a run gives about the health of its runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Nothing.
+    /// No evidence.
     Released,
-    /// It works.
+    /// The runner works.
     Succeeded,
-    /// It gave an answer that is none, or broke one off: counts from the second in a row.
+    /// The runner sent an invalid answer or broke one off. Counts as a failure from the second in a
+    /// row.
     Faulty,
-    /// It failed.
+    /// The runner failed.
     Failed,
 }
 
-/// What is known of a run when its slot is given back.
+/// Outcome of a run, recorded when its slot is given back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
-    /// What it says about its runner.
+    /// Evidence about the health of the runner.
     pub verdict: Verdict,
-    /// Length of its output, if it is known.
+    /// Length of the output in tokens, if it is known.
     pub tokens: Option<u64>,
-    /// Time from its slot to its first token, if it made one where it began.
+    /// Time from the grant of the slot to the first token, if the run produced one on the runner on
+    /// which it began.
     #[serde(default)]
     pub first: Option<Duration>,
 }
 
 impl RunReport {
-    /// A run that says nothing.
+    /// Report of a run that gives no evidence.
     pub const RELEASED: Self = Self { verdict: Verdict::Released, tokens: None, first: None };
 }
 
-/// Which runners a request asks for.
+/// Requirements and preferences of a request for its runner.
 #[derive(Debug, Clone, Copy)]
 pub struct RunnerQuery<'a> {
-    /// The run.
+    /// Identifies the run.
     pub id: &'a AttemptId,
-    /// What it pays for.
+    /// Priority that its workspace pays for.
     pub priority: Priority,
-    /// Runners that are not picked.
+    /// Runners that must not be picked.
     pub avoid: &'a [RunnerName],
     /// Failure domain whose runners are preferred.
     pub near: Option<&'a str>,
-    /// Tokens that are copied there first; 0 for a run that begins.
+    /// Tokens of KV cache that are copied to the runner first; 0 for a new run.
     pub copied: u64,
-    /// Failure domains whose runners may run it; all if there are none.
+    /// Failure domains whose runners may run it; empty allows all.
     pub within: &'a [FailureDomainName],
-    /// Whether runners that name a limit are not picked.
+    /// Whether runners that advertise a rate limit are excluded.
     pub skips_limited: bool,
-    /// Whether this box sends the request, so that it is bound by rests that runners asked it for.
+    /// Whether this box sends the request, so that the rests (`Retry-After` pauses) that runners
+    /// requested from this box apply to it.
     pub sends_here: bool,
-    /// Whether the request could not go elsewhere if its runner turned it away.
+    /// Whether the request cannot be retried elsewhere if its runner rejects it.
     pub only_try: bool,
 }
 
-/// Why no runner that could run a request takes one now.
+/// State in which every runner that could run a request is at its rate limit or resting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed {
-    /// Time until the first one may.
+    /// Time until the first of them accepts the request.
     pub opens_in: Duration,
-    /// Whether some of them asked for rest; the others are at their limits.
+    /// Whether any of them requested a rest; the others are at their limits.
     pub rests: bool,
 }
 
-/// When a request may come back that goes to runners without a limit only and finds none: it was
-/// turned away by several that have one, and those open at different times.
-const SKIPPED_RETRY: Duration = Duration::from_millis(250);
-/// Load by which a runner of another failure domain has to be less busy to be picked: the share
-/// of a runner that a few requests make.
-const DISTANCE: f64 = 0.15;
+/// Minimum retry delay of a request that is restricted to runners without a rate limit and finds
+/// none. Such a request was rejected by several limited runners, which accept requests again at
+/// different times.
+const UNLIMITED_RETRY: Duration = Duration::from_millis(250);
+/// Load penalty of a runner in another failure domain than the preferred one: about the load of a
+/// few requests.
+const FAR_PENALTY: f64 = 0.15;
 
-/// Load by which a runner that returns from a rest has to be less busy to be picked for a request that
-/// could not go elsewhere if it were turned away again: about that of a full runner.
-const RETURN_RISK: f64 = 1.0;
+/// Load penalty of a runner that has just ended a rest, for a request that cannot be retried
+/// elsewhere if the runner rejects it: about the load of a full runner.
+const REJECTION_PENALTY: f64 = 1.0;
 
-/// Weight of a second that a copy takes, in load: a runner that leaves has two seconds for all.
+/// Load penalty per second of copying. A runner that leaves has two seconds to move all its
+/// generations.
 const COPY_WEIGHT: f64 = 3.0;
-/// Load that another copy on a runner's link counts as: the last part of a copy, for which its
-/// stream stands still, would wait behind it.
-const SHARED_LINK: f64 = 0.3;
-/// Time that a move takes beside its copy: asking, and the last part.
-const LAST_PART: Duration = Duration::from_millis(80);
-/// How much longer a copy to another failure domain takes.
+/// Load penalty of a runner whose link is receiving another copy. The final part of a copy, during
+/// which its stream is paused, would wait behind the other one.
+const SHARED_LINK_PENALTY: f64 = 0.3;
+/// Time that a move takes beside the bulk copy: the request for it, and the final part.
+const MOVE_OVERHEAD: Duration = Duration::from_millis(80);
+/// Factor by which a copy to another failure domain takes longer.
 const FAR_COPY_FACTOR: f64 = 2.0;
 
 impl RunnerQuery<'_> {
@@ -216,17 +227,17 @@
         if self.is_far(spec) { FAR_COPY_FACTOR } else { 1.0 }
     }
 
-    /// Returns what it costs, in load, to bring the request to a runner.
-    fn distance(&self, runner: &RunnerState, now: Instant) -> f64 {
+    /// Returns the load penalty for the failure domain of a runner and for copying to it.
+    fn placement_penalty(&self, runner: &RunnerState, now: Instant) -> f64 {
         let spec = &runner.spec;
-        let far = if self.is_far(spec) { DISTANCE } else { 0.0 };
+        let far = if self.is_far(spec) { FAR_PENALTY } else { 0.0 };
         if self.copied == 0 {
             return far;
         }
-        let left = runner.copies.left(spec.copy_rate, now);
-        let shared = if left > 0.0 { SHARED_LINK } else { 0.0 };
+        let pending = runner.copies.remaining(spec.copy_rate, now);
+        let shared = if pending > 0.0 { SHARED_LINK_PENALTY } else { 0.0 };
         let own = self.copied as f64 * self.copy_factor(spec);
-        let seconds = (left + own) / spec.copy_rate;
+        let seconds = (pending + own) / spec.copy_rate;
         far + shared + seconds * COPY_WEIGHT
     }
 }
@@ -246,17 +257,18 @@
         Self { cfg, runners: BTreeMap::new(), picks: 0, signals: SharedSignals::default() }
     }
 
-    /// Takes limits and rests of upstreams from those that the whole box knows.
+    /// Sets the rate limits and rests of upstreams, which all tables of a box share.
     pub fn share_signals(&mut self, signals: SharedSignals) {
         self.signals = signals;
     }
 
-    /// Takes in what the fleet file says; runners that are gone finish what they have.
+    /// Replaces the set of configured runners. Runners that are no longer in it finish their
+    /// requests and get no new ones.
     pub fn sync(&mut self, specs: impl IntoIterator<Item = RunnerSpec>) {
         for runner in self.runners.values_mut() {
             runner.configured = false;
         }
-        let pace = self.pace();
+        let rates = self.mean_rates();
         for spec in specs {
             let runner = self.runners.entry(spec.name.clone()).or_insert_with(|| RunnerState {
                 spec: spec.clone(),
@@ -267,10 +279,12 @@
                 faults: 0,
                 ejected_until: None,
                 load: None,
-                memory: pace.map(|pace| EngineMemory::at_rate(pace.made)).unwrap_or_default(),
-                reading: pace.map(|pace| Reading::at_rate(pace.read)).unwrap_or_default(),
-                copies: Backlog::default(),
-                warming: Warming::default(),
+                memory: rates.map(|rates| EngineMemory::at_rate(rates.decode)).unwrap_or_default(),
+                prefill: rates
+                    .map(|rates| PrefillBacklog::at_rate(rates.prefill))
+                    .unwrap_or_default(),
+                copies: CopyBacklog::default(),
+                warmup: WarmupLimiter::default(),
                 cold_limit: None,
             });
             runner.configured = true;
@@ -282,186 +296,195 @@
         self.runners.retain(|_, runner| runner.configured || runner.running > 0);
     }
 
-    /// Returns the mean pace of the runners: what a new one is taken to have, so that neither the
-    /// memory that it needs nor its prompts are misjudged until its first generations have ended.
-    fn pace(&self) -> Option<Pace> {
+    /// Returns the mean rates of the runners. A new runner starts with them, so that its memory use
+    /// and prefill backlog are not misjudged until its first generations have ended.
+    fn mean_rates(&self) -> Option<TokenRates> {
         let count = self.runners.len() as f64;
-        let sum = |of: fn(&RunnerState) -> f64| self.runners.values().map(of).sum::<f64>();
-        (count > 0.0).then(|| Pace {
-            made: sum(|runner| runner.memory.rate()) / count,
-            read: sum(|runner| runner.reading.rate()) / count,
+        let sum = |rate: fn(&RunnerState) -> f64| self.runners.values().map(rate).sum::<f64>();
+        (count > 0.0).then(|| TokenRates {
+            decode: sum(|runner| runner.memory.rate()) / count,
+            prefill: sum(|runner| runner.prefill.rate()) / count,
         })
     }
 
-    /// Picks a runner that takes new work, has room and is not to be avoided, and takes a slot
-    /// on it.
+    /// Picks the best runner that meets the query and has room, and takes a slot on it.
     pub fn pick(
         &mut self,
-        asked: &RunnerQuery<'_>,
+        query: &RunnerQuery<'_>,
         candidate: &Candidate,
         lengths: &LengthModel,
         now: Instant,
     ) -> Option<RunnerSpec> {
         self.picks += 1;
-        self.expect(asked, now);
-        let (_, name) = self.best(asked, candidate, lengths, now)?;
+        self.record_demand(query, now);
+        let (_, name) = self.best(query, candidate, lengths, now)?;
         let best = self.runners.get_mut(&name)?;
         best.running += 1;
-        best.warming.take(best.cold_limit, now);
-        // Where another box gives out the permits, it is asked next.
-        let _ = self.signals.limits.borrow_mut().take(&name, asked.priority, now);
-        if asked.sends_here {
+        best.warmup.record_send(best.cold_limit, now);
+        // If another box grants the permits for this limit, the caller asks it next.
+        let _ = self.signals.limits.borrow_mut().take(&name, query.priority, now);
+        if query.sends_here {
             self.signals.rests.borrow_mut().take(&name, now);
         }
-        match asked.copied {
-            0 => best.reading.add(asked.id.clone(), candidate.prompt, now),
+        match query.copied {
+            0 => best.prefill.add(query.id.clone(), candidate.prompt, now),
             copied => {
-                let tokens = copied as f64 * asked.copy_factor(&best.spec);
-                let rest = best.spec.copy_rate * LAST_PART.as_secs_f64();
-                best.copies.add(tokens + rest, best.spec.copy_rate, now);
+                let tokens = copied as f64 * query.copy_factor(&best.spec);
+                let overhead = best.spec.copy_rate * MOVE_OVERHEAD.as_secs_f64();
+                best.copies.add(tokens + overhead, best.spec.copy_rate, now);
             }
         }
-        best.memory.add(asked.id.clone(), candidate.clone(), now);
+        best.memory.add(query.id.clone(), candidate.clone(), now);
         Some(best.spec.clone())
     }
 
-    /// Counts a request that runs on a runner `since` then; returns the runner if it is known.
+    /// Accounts for a request that has been running on a runner since `since`, and returns the
+    /// runner, or `None` if it is not configured.
     pub fn adopt(
         &mut self,
         name: &str,
-        asked: &RunnerQuery<'_>,
+        query: &RunnerQuery<'_>,
         candidate: &Candidate,
         since: Instant,
     ) -> Option<RunnerSpec> {
         let runner = self.runners.get_mut(name).filter(|runner| runner.configured)?;
         runner.running += 1;
-        runner.memory.add(asked.id.clone(), candidate.clone(), since);
+        runner.memory.add(query.id.clone(), candidate.clone(), since);
         Some(runner.spec.clone())
     }
 
-    /// Returns the load of the runner that would be picked, if any has room.
+    /// Returns the load score of the runner that would be picked, or `None` if none has room.
     pub fn quote(
         &self,
-        asked: &RunnerQuery<'_>,
+        query: &RunnerQuery<'_>,
         candidate: &Candidate,
         lengths: &LengthModel,
         now: Instant,
     ) -> Option<f64> {
-        self.best(asked, candidate, lengths, now).map(|(load, _)| load)
+        self.best(query, candidate, lengths, now).map(|(load, _)| load)
     }
 
-    /// Finds the least loaded runner that takes the request, and its load.
+    /// Finds the runner with the lowest load score among those that meet the query and have room.
     fn best(
         &self,
-        asked: &RunnerQuery<'_>,
+        query: &RunnerQuery<'_>,
         candidate: &Candidate,
         lengths: &LengthModel,
         now: Instant,
     ) -> Option<(f64, RunnerName)> {
-        let (cfg, turn, count) = (self.cfg, self.picks, self.runners.len().max(1));
-        let wanted = |r: &&RunnerState| asked.allows(&r.spec);
-        let floor = !self.runners.values().filter(wanted).any(|r| r.takes_work(now));
+        let (cfg, offset, count) = (self.cfg, self.picks, self.runners.len().max(1));
+        let allowed = |r: &&RunnerState| query.allows(&r.spec);
+        let use_ejected = !self.runners.values().filter(allowed).any(|r| r.takes_work(now));
         let open = self.runners.values().enumerate();
         let open = open.filter(|(_, r)| {
-            let reads = asked.copied == 0;
-            r.has_slot(now, floor)
-                && asked.allows(&r.spec)
-                && r.warming.admits(r.cold_limit, now)
-                && self.admits(asked, &r.spec.name, now)
-                && !(reads && r.reading.seconds(now) > MAX_READING)
+            let needs_prefill = query.copied == 0;
+            r.has_slot(now, use_ejected)
+                && query.allows(&r.spec)
+                && r.warmup.admits(r.cold_limit, now)
+                && self.admits(query, &r.spec.name, now)
+                && !(needs_prefill && r.prefill.seconds(now) > MAX_PREFILL_BACKLOG)
         });
         let mut open: Vec<(f64, usize, &RunnerName)> = open
             .map(|(i, r)| {
-                let share = match cfg.pick {
+                let score = match cfg.pick {
                     Pick::RoundRobin => 0.0,
                     Pick::LeastLoaded => {
-                        r.load_share(now) + asked.distance(r, now) + self.risk(asked, r, now)
+                        r.load_score(now)
+                            + query.placement_penalty(r, now)
+                            + self.rejection_penalty(query, r, now)
                     }
                 };
-                (share, (i + turn) % count, &r.spec.name)
+                (score, (i + offset) % count, &r.spec.name)
             })
             .collect();
         open.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        // Whether a request fits costs far more than the order, so it is asked one by one.
+        // The memory check costs far more than the sort, so runners are checked in order.
         let fits =
             |name: &RunnerName| self.runners[name].memory.fits(cfg.memory, candidate, lengths, now);
         let found = open.into_iter().find(|(.., name)| fits(name));
-        found.map(|(load, _, name)| (load, name.clone()))
+        found.map(|(score, _, name)| (score, name.clone()))
     }
 
-    /// Returns when one of the runners that could run a request may get it, if all of them are at
-    /// their limits or asked for rest.
-    pub fn closed(&self, asked: &RunnerQuery<'_>, now: Instant) -> Option<Closed> {
+    /// Returns the time until a runner accepts a request, if all runners that could run it are at
+    /// their rate limits or resting; otherwise `None`.
+    pub fn closed(&self, query: &RunnerQuery<'_>, now: Instant) -> Option<Closed> {
         let (limits, rests) = (self.signals.limits.borrow(), self.signals.rests.borrow());
         if limits.limited() == 0 && rests.is_empty() {
             return None;
         }
-        let could = self.runners.values().filter(|r| asked.allows(&r.spec) && r.takes_work(now));
-        let names: Vec<&RunnerName> = could.map(|r| &r.spec.name).collect();
-        if names.iter().any(|name| self.admits(asked, name, now)) {
+        let able = self.runners.values().filter(|r| query.allows(&r.spec) && r.takes_work(now));
+        let names: Vec<&RunnerName> = able.map(|r| &r.spec.name).collect();
+        if names.iter().any(|name| self.admits(query, name, now)) {
             return None;
         }
-        let rests_now = |name: &RunnerName| asked.sends_here && !rests.admits(name, now);
+        let rests_now = |name: &RunnerName| query.sends_here && !rests.admits(name, now);
         let opens_in = |name: &RunnerName| {
-            let limit = limits.opens_in(name, asked.priority, now);
+            let limit = limits.opens_in(name, query.priority, now);
             if rests_now(name) { limit.max(rests.opens_in(name, now)) } else { limit }
         };
-        let least = if asked.skips_limited { SKIPPED_RETRY } else { Duration::ZERO };
+        let least = if query.skips_limited { UNLIMITED_RETRY } else { Duration::ZERO };
         let first = names.iter().map(|name| opens_in(name)).min()?;
         let rests = names.iter().any(|name| rests_now(name));
         Some(Closed { opens_in: first.max(least), rests })
     }
 
-    /// Returns what it costs, in load, that a runner may turn the request away.
-    fn risk(&self, asked: &RunnerQuery<'_>, runner: &RunnerState, now: Instant) -> f64 {
+    /// Returns the load penalty for the risk that a runner that has just ended a rest rejects the
+    /// request.
+    fn rejection_penalty(
+        &self,
+        query: &RunnerQuery<'_>,
+        runner: &RunnerState,
+        now: Instant,
+    ) -> f64 {
         let returns = |name| self.signals.rests.borrow().is_returning(name, now);
-        let is_at_risk = asked.only_try && asked.sends_here && returns(&runner.spec.name);
-        if is_at_risk { RETURN_RISK } else { 0.0 }
+        let is_at_risk = query.only_try && query.sends_here && returns(&runner.spec.name);
+        if is_at_risk { REJECTION_PENALTY } else { 0.0 }
     }
 
-    /// Returns whether limit and rest of a runner leave room for a request.
-    fn admits(&self, asked: &RunnerQuery<'_>, runner: &str, now: Instant) -> bool {
+    /// Returns whether the rate limit and the rest of a runner admit a request.
+    fn admits(&self, query: &RunnerQuery<'_>, runner: &str, now: Instant) -> bool {
         let limits = self.signals.limits.borrow();
-        let skipped = asked.skips_limited && limits.limit(runner).is_some();
-        let rested = asked.sends_here && !self.signals.rests.borrow().admits(runner, now);
-        !skipped && !rested && limits.admits(runner, asked.priority, now)
+        let excluded = query.skips_limited && limits.limit(runner).is_some();
+        let resting = query.sends_here && !self.signals.rests.borrow().admits(runner, now);
+        !excluded && !resting && limits.admits(runner, query.priority, now)
     }
 
-    /// Notes at the limits of its runners that a request wants to be sent.
-    fn expect(&self, asked: &RunnerQuery<'_>, now: Instant) {
+    /// Records the demand of a request at the rate limits of the runners that could run it.
+    fn record_demand(&self, query: &RunnerQuery<'_>, now: Instant) {
         let mut limits = self.signals.limits.borrow_mut();
         if limits.limited() == 0 {
             return;
         }
-        for runner in self.runners.values().filter(|runner| asked.allows(&runner.spec)) {
-            limits.expect(&runner.spec.name, asked.priority, now);
+        for runner in self.runners.values().filter(|runner| query.allows(&runner.spec)) {
+            limits.expect(&runner.spec.name, query.priority, now);
         }
     }
 
-    /// Returns whether any runner could take new work now or after others finish. With every
-    /// runner ejected all of them can: one that may fail is better than none.
+    /// Returns whether any runner can take new work now or once others finish. Ejected runners
+    /// count: if all are ejected they are used anyway, since a runner that may fail is better than
+    /// none.
     pub fn any_serving(&self) -> bool {
         self.runners.values().any(|r| r.configured && r.serving)
     }
 
-    /// Returns whether any runner that a request asks for could take it now or later.
-    pub fn any_serving_for(&self, asked: &RunnerQuery<'_>) -> bool {
-        self.runners.values().any(|r| r.configured && r.serving && asked.allows(&r.spec))
+    /// Returns whether any runner that meets the query can take the request now or later.
+    pub fn any_serving_for(&self, query: &RunnerQuery<'_>) -> bool {
+        self.runners.values().any(|r| r.configured && r.serving && query.allows(&r.spec))
     }
 
-    /// Returns when the first ejected runner comes back, if none serves.
+    /// Returns the earliest end of an ejection among the serving runners, if any is ejected.
     pub fn next_readmission(&self) -> Option<Instant> {
-        let back = self.runners.values().filter(|r| r.configured && r.serving);
-        back.filter_map(|r| r.ejected_until).min()
+        let serving = self.runners.values().filter(|r| r.configured && r.serving);
+        serving.filter_map(|r| r.ejected_until).min()
     }
 
-    /// Gives a slot back.
+    /// Gives a slot back and applies the report of its run.
     pub fn give_back(&mut self, name: &str, id: &str, report: RunReport, now: Instant) {
         let cfg = self.cfg;
         let Some(runner) = self.runners.get_mut(name) else { return };
         runner.running = runner.running.saturating_sub(1);
         runner.memory.remove(id, report.tokens, now);
-        runner.reading.give_back(id, report.first);
+        runner.prefill.remove(id, report.first);
         match report.verdict {
             Verdict::Released => {}
             Verdict::Succeeded => {
@@ -479,14 +502,14 @@
         }
     }
 
-    /// Notes which runners membership lets take new work.
+    /// Sets which runners take new work according to membership.
     pub fn set_serving(&mut self, serves: impl Fn(&str) -> bool) {
         for (name, runner) in &mut self.runners {
             runner.serving = serves(name);
         }
     }
 
-    /// Notes until when each runner is cold, and what it bears then.
+    /// Sets until when each runner is cold, and its rate limit while it is.
     pub fn set_cold(
         &mut self,
         cold: impl Fn(&RunnerSpec) -> Option<(Instant, ColdLimit)>,
@@ -495,11 +518,11 @@
         for runner in self.runners.values_mut() {
             let found = cold(&runner.spec);
             runner.cold_limit = found.map(|(_, limit)| limit);
-            runner.warming.set_until(found.map_or(now, |(until, _)| until), now);
+            runner.warmup.set_until(found.map_or(now, |(until, _)| until), now);
         }
     }
 
-    /// Takes in a load report.
+    /// Applies a load report of a runner.
     pub fn report(&mut self, name: &str, load: EngineLoad, now: Instant) {
         if let Some(runner) = self.runners.get_mut(name) {
             runner.memory.report(&load, now);
@@ -507,7 +530,8 @@
         }
     }
 
-    /// Returns name, requests of this box and whether it takes new work, for operators.
+    /// Returns the name of each runner, its requests of this box and whether it takes new work, for
+    /// display to operators.
     pub fn overview(&self, now: Instant) -> Vec<(RunnerName, u64, bool)> {
         let rows = self.runners.values();
         rows.map(|r| (r.spec.name.clone(), r.running, r.takes_work(now))).collect()
@@ -519,19 +543,20 @@
         self.configured && self.serving && self.ejected_until.is_none_or(|until| now >= until)
     }
 
-    /// Returns whether it has room; `floor` lets ejected runners take work as well.
-    fn has_slot(&self, now: Instant, floor: bool) -> bool {
-        let slots = if self.failures > 0 && !floor { 1 } else { self.spec.slots };
-        let open = if floor { self.configured && self.serving } else { self.takes_work(now) };
+    /// Returns whether it has a free slot; `use_ejected` also considers ejected runners.
+    fn has_slot(&self, now: Instant, use_ejected: bool) -> bool {
+        let slots = if self.failures > 0 && !use_ejected { 1 } else { self.spec.slots };
+        let open = if use_ejected { self.configured && self.serving } else { self.takes_work(now) };
         open && self.running < slots
     }
 
-    /// Share of slots and memory in use, and seconds of prompts to be read; what other boxes have
-    /// waiting there counts too.
-    fn load_share(&self, now: Instant) -> f64 {
+    /// Returns the load score: the fractions of slots and of memory in use plus the prefill backlog
+    /// in seconds. The queue that the runner reports counts towards the slots, which includes
+    /// requests of other boxes.
+    fn load_score(&self, now: Instant) -> f64 {
         let slots = self.spec.slots.max(1) as f64;
         let waiting = self.load.as_ref().map_or(0.0, |load| load.waiting as f64);
-        let reading = self.reading.seconds(now);
-        (self.running as f64 + waiting) / slots + self.memory.utilization(now) + reading
+        let prefill = self.prefill.seconds(now);
+        (self.running as f64 + waiting) / slots + self.memory.utilization(now) + prefill
     }
 }
--- a/crates/hatchpitch/src/routing/task.rs
+++ b/crates/hatchpitch/src/routing/task.rs
@@ -1,4 +1,4 @@
-//! Reads the load reports of upstreams and passes on what they say about leaving.
+//! Polls upstreams for load reports, and updates runner tables and membership from them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 use crate::membership::task;
 use crate::upstream_heads::task as upstream_heads;
 
-/// Time between load reports of one runner.
+/// Polling interval for the load report of one runner.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
 
-/// Reads reports until `stop`.
+/// Polls the runners that this box owns until `stop` is set.
 pub async fn run(cx: Rc<EntryCx>, stop: Stop) {
     while !stop.is_set() {
         let view = cx.sync_gates();
         cx.membership.borrow_mut().set_config_number(view.number);
         for pool in &view.pools {
-            let asked = pool.runners.iter().filter(|runner| {
-                // Runners that announce themselves speak another protocol.
+            let polled = pool.runners.iter().filter(|runner| {
+                // Runners that register themselves speak another protocol.
                 pool.hosted.is_none() && cx.owns(pool, &runner.name)
             });
-            for runner in asked {
+            for runner in polled {
                 let (cx, runner) = (cx.clone(), runner.clone());
-                compio::runtime::spawn(async move { read_report(&cx, &runner).await }).detach();
+                compio::runtime::spawn(async move { poll_load(&cx, &runner).await }).detach();
             }
             cx.apply_membership(&pool.pool.name);
             cx.gate(&pool.pool.name).tick();
@@ -36,25 +36,28 @@
     }
 }
 
-async fn read_report(cx: &Rc<EntryCx>, runner: &Runner) {
+/// Polls one runner for its load and applies the report.
+async fn poll_load(cx: &Rc<EntryCx>, runner: &Runner) {
     if !upstream_heads::take_spare(cx, &runner.name) {
-        // Callers' requests go first; what this box runs there it knows without a report.
+        // Requests of callers take precedence within the upstream's limits, and this box knows its
+        // own load on the runner without a report.
         return;
     }
     let on_head = |signals| upstream_heads::note_aside(cx, &runner.name, signals);
     let load = match adapter::load(&cx.upstream(runner.addr), &on_head).await {
         Ok(load) => load,
         Err(err) => {
-            log::debug!("load report of {}: {err}", runner.name);
+            log::debug!("no load report from {}: {err}", runner.name);
             return;
         }
     };
-    observe(cx, runner, &load);
+    update_membership(cx, runner, &load);
     cx.gate(&runner.pool).update(|table| table.report(&runner.name, load, clock::now()));
 }
 
-/// Notes what the upstream says about its own life; leaving is sticky within it.
-fn observe(cx: &EntryCx, runner: &Runner, load: &EngineLoad) {
+/// Updates membership with the status that the upstream reports for its incarnation. Within one
+/// incarnation, an upstream that leaves stays so.
+fn update_membership(cx: &EntryCx, runner: &Runner, load: &EngineLoad) {
     let status = if load.leaving { MemberStatus::Leaving } else { MemberStatus::Alive };
     let record = MemberRecord {
         subject: Subject::Upstream(runner.name.clone()),
--- a/crates/hatchpitch/src/routing/verify.rs
+++ b/crates/hatchpitch/src/routing/verify.rs
@@ -2,21 +2,23 @@
 
 use super::state::RunnerTable;
 
-/// Checks a table.
+/// Checks the invariants of a table.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the first violated invariant.
 pub fn verify(table: &RunnerTable) -> Result<(), String> {
     for (name, runner) in &table.runners {
         if runner.spec.name != *name {
-            return Err(format!("{name} holds another runner"));
+            return Err(format!("the entry {name} holds another runner"));
         }
         if !runner.configured && runner.running == 0 {
-            return Err(format!("{name} is gone but kept"));
+            return Err(format!(
+                "runner {name} is kept although it is not configured and runs nothing"
+            ));
         }
         if runner.ejected_until.is_some() && runner.failures == 0 {
-            return Err(format!("{name} is ejected without a failure"));
+            return Err(format!("runner {name} is ejected without a failure"));
         }
     }
     Ok(())
--- a/crates/hatchpitch/tests/reading.rs
+++ b/crates/hatchpitch/tests/prefill.rs
@@ -1,11 +1,12 @@
-//! Prompts that an engine has to read: the pace is learned, and more wait in line, not inside.
+//! Prefill backlog of an engine: its rate is learned, and requests beyond a short backlog wait in
+//! the line, which orders them by priority.
 
 use std::time::{Duration, Instant};
 
 use hatchpitch::admission::{AdmissionConfig, Gate};
 use hatchpitch::dispatch::{Decision, Line, Quote, Want};
 use hatchpitch::routing::RoutingConfig;
-use hatchpitch::routing::reading::Reading;
+use hatchpitch::routing::prefill::PrefillBacklog;
 use hatchpitch::routing::state::RunnerSpec;
 
 fn ms(ms: u64) -> Duration {
@@ -36,40 +37,40 @@
 }
 
 #[test]
-fn the_pace_is_learned_whatever_was_expected() {
-    for (expected, real) in [(7_000.0, 14_000.0), (7_000.0, 4_000.0)] {
-        let (mut now, mut reading) = (Instant::now(), Reading::at_rate(expected));
-        // Prompts come closer together than they are read, then the engine rests.
+fn rate_converges_from_any_initial_rate() {
+    for (initial, actual) in [(7_000.0, 14_000.0), (7_000.0, 4_000.0)] {
+        let (mut now, mut backlog) = (Instant::now(), PrefillBacklog::at_rate(initial));
+        // Prompts arrive faster than they are prefilled, then the engine is idle.
         for round in 0..60_u64 {
             let mut idle_at = now;
             for i in 0..4_u64 {
                 let id = (round * 4 + i).to_string();
-                reading.add(id.clone(), 3_000, now);
-                idle_at = idle_at.max(now) + Duration::from_secs_f64(3_000.0 / real);
-                reading.give_back(&id, Some(idle_at - now));
+                backlog.add(id.clone(), 3_000, now);
+                idle_at = idle_at.max(now) + Duration::from_secs_f64(3_000.0 / actual);
+                backlog.remove(&id, Some(idle_at - now));
                 now += ms(100);
             }
             now = idle_at + ms(500);
         }
-        let off = reading.rate() / real;
-        assert!((0.85..1.15).contains(&off), "{} for {real}", reading.rate());
+        let ratio = backlog.rate() / actual;
+        assert!((0.85..1.15).contains(&ratio), "{} for {actual}", backlog.rate());
     }
 }
 
 #[test]
-fn a_time_that_no_engine_has_teaches_nothing() {
-    let (now, mut reading) = (Instant::now(), Reading::at_rate(7_000.0));
+fn ignores_implausible_times_to_first_token() {
+    let (now, mut backlog) = (Instant::now(), PrefillBacklog::at_rate(7_000.0));
     for (id, first) in [("a", Some(ms(0))), ("b", Some(ms(60_000))), ("c", None)] {
-        reading.add(id.to_owned(), 3_000, now);
-        reading.give_back(id, first);
+        backlog.add(id.to_owned(), 3_000, now);
+        backlog.remove(id, first);
     }
-    assert!((reading.rate() - 7_000.0).abs() < 1e-9, "{}", reading.rate());
-    assert!(reading.seconds(now) > 1.0);
-    assert!(reading.seconds(now + ms(2_000)) <= 0.0);
+    assert!((backlog.rate() - 7_000.0).abs() < 1e-9, "{}", backlog.rate());
+    assert!(backlog.seconds(now) > 1.0);
+    assert!(backlog.seconds(now + ms(2_000)) <= 0.0);
 }
 
 #[test]
-fn who_pays_more_is_read_before_those_that_came_earlier() {
+fn higher_priority_is_prefilled_before_earlier_arrivals() {
     let now = Instant::now();
     let mut line = Line::new(AdmissionConfig::default(), RoutingConfig::default());
     line.update(now, |table| table.sync([spec()]));
@@ -80,16 +81,16 @@
             decision => assert!(matches!(decision, Decision::Run(_)), "{decision:?}"),
         }
     }
-    // Two prompts keep the engine busy for 0.86 s; the third one waits here.
+    // Two prompts take 0.86 s to prefill, so the third one waits in the line.
     assert_eq!(tickets.len(), 4);
     let Decision::Wait(urgent) = line.decide(&want(9, 5), now) else { panic!() };
     line.tick(now + ms(300));
-    let let_in: Vec<_> = line.take_answers().into_iter().map(|answer| answer.ticket).collect();
-    assert_eq!(let_in, [urgent]);
+    let admitted: Vec<_> = line.take_answers().into_iter().map(|answer| answer.ticket).collect();
+    assert_eq!(admitted, [urgent]);
 }
 
 #[test]
-fn a_copy_does_not_wait_for_prompts() {
+fn copies_do_not_wait_for_prefills() {
     let now = Instant::now();
     let mut line = Line::new(AdmissionConfig::default(), RoutingConfig::default());
     line.update(now, |table| table.sync([spec()]));
@@ -100,7 +101,7 @@
 }
 
 #[compio::test]
-async fn a_request_is_let_in_once_the_engine_has_read() {
+async fn admits_a_request_once_the_backlog_has_drained() {
     let gate = Gate::new(AdmissionConfig::default(), RoutingConfig::default(), Default::default());
     gate.update(|table| table.sync([spec()]));
     let started = Instant::now();
@@ -108,7 +109,7 @@
     for id in 0..2 {
         slots.push(gate.admit(Want { prompt: 6_000, ..want(id, 1) }).await.unwrap());
     }
-    // On a machine that stands still for long the engine has read them by now.
+    // If the machine stalled for long, the backlog has already drained.
     if started.elapsed() < ms(500) {
         assert!(matches!(gate.quote(&want(2, 1)), Ok(Quote::Busy(_))));
     }
