--- a/crates/hatchpitch/src/grants/state.rs
+++ b/crates/hatchpitch/src/grants/state.rs
@@ -37,7 +37,7 @@
     /// Releases a slot. Does nothing if the attempt holds none.
     pub fn release(&mut self, id: &str, report: RunReport) {
         if let Some(mut grant) = self.grants.remove(id) {
-            grant.permit.finish(report);
+            grant.permit.set_report(report);
         }
     }
 
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -122,7 +122,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let GrantSource::Local(permit) = &mut self.source {
-            permit.finish(self.report);
+            permit.set_report(self.report);
         }
         let Some(held) = self.cx.held.borrow_mut().remove(&self.id) else { return };
         let release = ReleaseRequest { id: self.id.clone(), report: self.report };
@@ -257,7 +257,7 @@
     match upstream_limits::confirm(cx, &permit.runner.name, want.priority).await {
         Ok(()) => Ok(permit),
         Err(wait) => {
-            permit.give_up();
+            permit.release_unused();
             Err(wait)
         }
     }
