--- a/crates/hatchpitch/src/config/entity.rs
+++ b/crates/hatchpitch/src/config/entity.rs
@@ -1,4 +1,4 @@
-//! The checked entities of a fleet.
+//! The validated entities of a fleet.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,24 +19,24 @@
 pub struct FailureDomain {
     /// Its name.
     pub name: FailureDomainName,
-    /// The region it lies in.
+    /// The region that contains it.
     pub region: String,
 }
 
-/// A pool of runners that hold one model.
+/// A pool of runners that serve one model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     /// Its name.
     pub name: PoolName,
-    /// The model that callers ask for.
+    /// Name of the model in callers' requests.
     pub model: String,
     /// Version of the model.
     pub version: String,
-    /// Bound on the output of one generation, in tokens.
+    /// Maximum output of one generation, in tokens.
     pub max_tokens: u64,
-    /// Silence after which a link to an engine is remade.
+    /// Time without any event after which the connection to an engine is reopened.
     pub silence_limit: Duration,
-    /// Requests that may wait for the pool at one box.
+    /// Maximum number of requests that wait for the pool at one box.
     pub max_waiting: u64,
 }
 
@@ -45,77 +45,78 @@
 pub struct Runner {
     /// Its name.
     pub name: RunnerName,
-    /// The pool it serves.
+    /// The pool that it belongs to.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that it belongs to.
     pub failure_domain: FailureDomainName,
-    /// Generations that one box may run on it at once.
+    /// Maximum number of generations that one box runs on it concurrently.
     pub max_batch: u64,
-    /// Whether it rejects orders of an old term.
+    /// Whether it rejects commands that carry an outdated term.
     pub checks_fence: bool,
 }
 
 /// A route of an application service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Prefix of the path below the service.
+    /// Path prefix relative to the service.
     pub path: String,
-    /// Whether a call may be sent again after an unclear failure.
+    /// Whether a call may be retried when it is unknown whether it was executed.
     pub repeatable: bool,
 }
 
-/// An application service beside the engines.
+/// An application service other than the engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name, the first segment below `/apps/`.
+    /// Its name, the path segment that follows `/apps/`.
     pub name: ServiceName,
-    /// Its routes; the longest matching prefix counts.
+    /// Its routes; the one with the longest matching prefix applies.
     pub routes: Vec<Route>,
-    /// How long a call may take.
+    /// Time limit of a call.
     pub timeout: Duration,
 }
 
-/// A runner of an application service.
+/// An upstream of an application service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceUpstream {
     /// Its name.
     pub name: RunnerName,
-    /// The service it runs.
+    /// The service that it runs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that it belongs to.
     pub failure_domain: FailureDomainName,
 }
 
-/// A key known only by its SHA-256 digest.
+/// The SHA-256 digest of a secret key; the key itself is not stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyHash {
-    /// Name of the key, for rolling it.
+    /// Name of the key, which identifies it in key rotation.
     pub id: String,
     /// SHA-256 of the key.
     pub sha256: Digest,
 }
 
-/// A paying workspace.
+/// A workspace: a tenant with its own keys, priority and access rights.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
     /// Its name.
     pub name: WorkspaceName,
-    /// The priority it pays for, 1 to 9; 0 leaves it to the route.
+    /// Its priority, 1 to 9; 0 means that the route determines the priority.
     pub priority: Priority,
-    /// Pools it may use.
+    /// Pools that it may use.
     pub pools: Vec<PoolName>,
-    /// Services it may call.
+    /// Services that it may call.
     pub services: Vec<ServiceName>,
-    /// Streams it may hold open at one box.
+    /// Maximum number of streams that it may hold open at one box.
     pub max_streams: u64,
-    /// Keys that its callers present; any of them is accepted.
+    /// Keys that authenticate its callers; any of them is accepted.
     pub keys: Vec<KeyHash>,
-    /// Regions whose upstreams may run its requests; all if there are none.
-    // Left out where it is empty, so that what was accepted before keeps its digest.
+    /// Regions whose upstreams may run its requests; empty allows all regions.
+    // Not encoded if empty, so that the digests of configurations accepted before the field
+    // existed stay the same.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub regions: Vec<RegionName>,
 }
@@ -125,11 +126,11 @@
 pub struct Operator {
     /// Its name.
     pub name: String,
-    /// Keys that it presents; any of them is accepted.
+    /// Keys that authenticate it; any of them is accepted.
     pub keys: Vec<KeyHash>,
 }
 
-/// Kind and name of an entity; unique in a fleet.
+/// Kind and name of an entity; unique within a fleet.
 pub type EntityKey = (u8, String);
 
 /// Any entity of a fleet.
@@ -143,7 +144,7 @@
     Runner(Runner),
     /// A service.
     Service(Service),
-    /// A runner of a service.
+    /// An upstream of a service.
     ServiceUpstream(ServiceUpstream),
     /// A workspace.
     Workspace(Workspace),
@@ -151,9 +152,9 @@
     Operator(Operator),
     /// A route by host and path.
     HostedRoute(HostedRoute),
-    /// A service whose upstreams announce themselves.
+    /// A service whose upstreams register themselves.
     HostedService(HostedService),
-    /// Bounds on callers of hosted routes.
+    /// Limits for callers of hosted routes.
     HostedLimits(HostedLimits),
 }
 
@@ -178,7 +179,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the entity does not encode, which its types rule out.
+    /// Panics if the entity cannot be encoded, which its types rule out.
     pub fn encoded_len(&self) -> usize {
         let mut count = ByteCount(0);
         rmp_serde::encode::write_named(&mut count, self).expect("entities always encode");
@@ -189,14 +190,14 @@
     ///
     /// # Panics
     ///
-    /// Panics if the entity does not encode, which its types rule out.
+    /// Panics if the entity cannot be encoded, which its types rule out.
     pub fn digest(&self) -> Digest {
         let bytes = rmp_serde::to_vec_named(self).expect("entities always encode");
         Sha256::digest(&bytes).into()
     }
 }
 
-/// Counts the bytes that are written to it.
+/// A writer that only counts the bytes written to it.
 struct ByteCount(usize);
 
 impl io::Write for ByteCount {
@@ -210,7 +211,7 @@
     }
 }
 
-/// Names the kind of an entity for operators.
+/// Returns the name of an entity kind, as operators' files spell it.
 pub fn kind_name(kind: u8) -> &'static str {
     const NAMES: [&str; 10] = [
         "failure_domain",
@@ -227,25 +228,25 @@
     NAMES.get(usize::from(kind)).copied().unwrap_or("unknown")
 }
 
-/// A checked fleet file.
+/// A validated fleet file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fleet {
-    /// The number the operator gave it.
+    /// The number that the operator assigned to it.
     pub number: ConfigNumber,
     /// All entities.
     pub entities: BTreeMap<EntityKey, Entity>,
-    /// The text it was made from, if operators read that back; it decides nothing.
+    /// The source text, kept only so that operators can read it back.
     pub document: Option<Vec<u8>>,
 }
 
 impl Fleet {
-    /// Creates a fleet from checked entities.
+    /// Creates a fleet from validated entities.
     pub fn new(number: ConfigNumber, entities: impl IntoIterator<Item = Entity>) -> Self {
         let entities = entities.into_iter().map(|entity| (entity.key(), entity)).collect();
         Self { number, entities, document: None }
     }
 
-    /// Returns the digest of the whole fleet, the number left out.
+    /// Returns the digest of all entities; it does not cover the number.
     pub fn digest(&self) -> Digest {
         self.entities.values().fold([0; 32], |sum, entity| xor(sum, entity.digest()))
     }
@@ -253,9 +254,9 @@
 
 /// Adds or removes one entity's digest from a fleet's digest.
 ///
-/// The exclusive or of the entities' digests can be kept up to date by what
-/// changed. It guards against faults of transport and code, not against a
-/// forger: messages between boxes are signed for that.
+/// The fleet's digest is the XOR of the entities' digests, so it can be updated
+/// incrementally from a delta. It detects transport errors and software faults but
+/// not forgery, which the signatures of the messages between boxes prevent.
 pub fn xor(mut sum: Digest, part: Digest) -> Digest {
     for (a, b) in sum.iter_mut().zip(part) {
         *a ^= b;
--- a/crates/hatchpitch/src/config/feed.rs
+++ b/crates/hatchpitch/src/config/feed.rs
@@ -1,14 +1,15 @@
-//! Carries configuration and evacuations down the relay tree, and tells how fresh they are.
+//! Distributes configuration, evacuations and the quarantine list down a tree of boxes, and tracks
+//! how recently they were confirmed as current.
 //!
-//! Every box asks one parent with a held request. The parent answers when its
-//! number passes the one asked with, when it is confirmed anew and the box has
-//! no confirmation, or when the hold ends, and says how long ago the control
-//! leader confirmed its number. The root of the tree is the
-//! control boxes. Cost a box: one small request a hold, plus what changed.
+//! Every box long-polls one parent. The parent answers when its number exceeds the requested one,
+//! when it obtains a confirmation that the box lacks, or when the hold time expires. Its answer
+//! states how long ago the control leader confirmed its number. The control boxes are the root of
+//! the tree. Each box costs its parent one small request per hold time, plus the changes.
 //!
-//! A large change comes in parts, one request each, from one parent at a time. A parent makes a
-//! part when it is first asked for, keeps nothing of who asks, and withholds parts while much waits
-//! to be sent; what has arrived is kept when a parent fails, and the next one goes on from there.
+//! A large change is sent in parts, one request each, from one parent at a time. A parent encodes a
+//! part when it is first requested, keeps no state for each child, and withholds parts while its
+//! send backlog is full. When a parent fails, the received parts are kept and the next parent
+//! continues the transfer.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,92 +21,94 @@
 use futures_util::stream::FuturesUnordered;
 use hatchpitch_net::{Backlog, BoxClient, Stop, clock};
 
-use super::arriving::{Arriving, Taken};
 use super::entity::EntityKey;
 use super::messages::{Delta, FeedAnswer, FeedRequest, Rest};
-use super::packed::{PackedDelta, PackedPart, PackedParts};
+use super::packed::{PackedDelta, PackedPart, PartCache};
 use super::state::{ConfigState, InstallError, Part};
+use super::transfer::{PartOutcome, Transfer};
 use super::view::FleetView;
 use crate::evacuation::Evacuations;
 use crate::ids::{BoxName, ConfigNumber};
 use crate::limits::backoff;
 use crate::quarantine::QuarantineList;
 
-/// Path of the feed at every box.
+/// Path of the feed endpoint at every box.
 pub const FEED_PATH: &str = "/box/feed";
-/// How long a parent may hold a request.
+/// Hold time of a request: how long the parent may delay its answer.
 pub const HOLD: Duration = Duration::from_millis(1_000);
-/// Longest hold that a parent grants, whatever was asked.
+/// Maximum hold time that a parent grants, regardless of the request.
 const MAX_HOLD: Duration = Duration::from_secs(5);
-/// Time allowed for an answer beyond the hold.
+/// Time allowed for an answer in addition to the hold time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(1_500);
-/// Age of a parent's confirmation from which on another parent is asked: a few holds, as each
-/// level of the tree adds one.
+/// Maximum age of a parent's confirmation; beyond it, the next parent is asked. It spans several
+/// hold times, because each level of the tree adds up to one.
 const PARENT_MAX_AGE: Duration = Duration::from_millis(4_000);
-/// How long a parent may hold the request of a box without a confirmation: it is short, so that
-/// one parent that has none either does not keep the box from asking the others.
+/// Hold time of a request from a box without a recent confirmation. It is short, so that a parent
+/// that has none either does not keep the box from asking the other parents.
 const UNCONFIRMED_HOLD: Duration = Duration::from_millis(250);
-/// Parents that a box without a confirmation asks at one time: some may not be up yet, or have
-/// none themselves.
-const ASKED_AT_ONCE: usize = 3;
+/// Number of parents that a box without a recent confirmation asks concurrently, because some may
+/// not be running yet or have no confirmation themselves.
+const MAX_CONCURRENT_PARENTS: usize = 3;
 
-/// Bytes of a part that is not packed: a link of 10 Mbit/s passes it in 52 ms, far within the time
-/// for an answer.
+/// Size of an uncompressed part, in bytes. A 10 Mbit/s link transmits it in 52 ms, far less than
+/// the time allowed for an answer.
 const PART_BYTES: usize = 64 * 1024;
-/// Bytes of a part before it is packed. One of routes takes a tenth of that or less, which a link of
-/// 10 Mbit/s passes in 21 ms; one that can't be compressed takes 210 ms there.
+/// Size of a part before compression, in bytes. Routes compress to a tenth of that or less, which a
+/// 10 Mbit/s link transmits in 21 ms; an incompressible part takes 210 ms.
 const PACKED_PART_BYTES: usize = 256 * 1024;
 
-/// The configuration in force at this box, shared by its tasks on one thread.
+/// The configuration in force at this box, shared by the tasks of one thread.
 pub struct ConfigCell {
     inner: RefCell<Inner>,
-    /// What this process has to send to other boxes.
+    /// Bytes and messages queued for sending to other boxes.
     backlog: Backlog,
-    /// Whether a task asks a parent for one part after the other.
-    pulls: Cell<bool>,
+    /// Whether a task is transferring a configuration in parts.
+    transferring: Cell<bool>,
 }
 
-/// What is in force at a box beside its upstreams.
+/// The cluster-wide state in force at a box, other than the upstream registry.
 #[derive(Debug, Clone, Default)]
 pub struct InForce {
     /// The number of the configuration.
     pub config: ConfigNumber,
     /// The evacuated failure domains.
     pub evacuations: Rc<Evacuations>,
-    /// The held requests.
+    /// The quarantined requests.
     pub quarantine: Rc<QuarantineList>,
 }
 
 struct Inner {
     state: ConfigState,
-    /// What has arrived of a newer configuration.
-    arriving: Option<Arriving>,
-    /// Parts of what is in force, as they were sent of late.
-    parts: PackedParts,
+    /// The parts received so far of a newer configuration.
+    transfer: Option<Transfer>,
+    /// Recently sent parts of the configuration in force.
+    parts: PartCache,
     view: Rc<FleetView>,
     evacuations: Rc<Evacuations>,
     quarantine: Rc<QuarantineList>,
     confirmed_at: Option<Instant>,
-    waiting: Vec<oneshot::Sender<()>>,
+    /// Wakes the delayed answers to children.
+    waiters: Vec<oneshot::Sender<()>>,
 }
 
-/// What a task learned from a parent.
+/// The result of one request to a parent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Learned {
-    /// The parent is behind, or has no room for a part now.
-    Nothing,
-    /// What is in force here is what the parent has; whether that was confirmed of late.
-    Newest { confirmed: bool },
-    /// A part; more is to be asked for.
+enum FetchOutcome {
+    /// The parent failed, is behind, or withheld its part.
+    NoProgress,
+    /// This box has the parent's configuration; `confirmed` tells whether the parent has a recent
+    /// confirmation of it.
+    UpToDate { confirmed: bool },
+    /// A part was received, and more are to be requested.
     Part,
 }
 
-/// The right to ask for one part after the other; only one task of a process has it.
-struct Pull<'a>(&'a ConfigCell);
+/// Marks a transfer in progress; only one task of a process holds it at a time.
+struct TransferGuard<'a>(&'a ConfigCell);
 
-impl Drop for Pull<'_> {
+impl Drop for TransferGuard<'_> {
     fn drop(&mut self) {
-        self.0.pulls.set(false);
+        self.0.transferring.set(false);
     }
 }
 
@@ -116,38 +119,38 @@
 }
 
 impl ConfigCell {
-    /// Creates the cell of a process that has no configuration yet; `backlog` counts what it has
-    /// to send to other boxes.
+    /// Creates the cell of a process without a configuration; `backlog` counts what it has queued
+    /// for sending to other boxes.
     pub fn new(backlog: Backlog) -> Self {
         let inner = Inner {
             state: ConfigState::default(),
-            arriving: None,
-            parts: PackedParts::default(),
+            transfer: None,
+            parts: PartCache::default(),
             view: Rc::default(),
             evacuations: Rc::default(),
             quarantine: Rc::default(),
             confirmed_at: None,
-            waiting: Vec::new(),
+            waiters: Vec::new(),
         };
-        Self { inner: RefCell::new(inner), backlog, pulls: Cell::new(false) }
+        Self { inner: RefCell::new(inner), backlog, transferring: Cell::new(false) }
     }
 
-    /// Returns whether a configuration is arriving in parts.
+    /// Returns whether a configuration is being received in parts.
     pub fn is_arriving(&self) -> bool {
-        self.pulls.get()
+        self.transferring.get()
     }
 
-    fn begin_pull(&self) -> Option<Pull<'_>> {
-        (!self.pulls.replace(true)).then(|| Pull(self))
+    fn begin_transfer(&self) -> Option<TransferGuard<'_>> {
+        (!self.transferring.replace(true)).then(|| TransferGuard(self))
     }
 
-    /// Composes the request for what is lacking here.
+    /// Builds the request for the changes that this box lacks.
     fn request(&self, own: &BoxName, hold: Duration) -> FeedRequest {
         let unconfirmed = !self.is_confirmed();
         let hold = if unconfirmed { hold.min(UNCONFIRMED_HOLD) } else { hold };
         let inner = self.inner.borrow();
         let (have, after) =
-            inner.arriving.as_ref().map_or((inner.state.number(), None), Arriving::next);
+            inner.transfer.as_ref().map_or((inner.state.number(), None), Transfer::next);
         let evacuations = inner.evacuations.revision();
         let quarantine = inner.quarantine.revision;
         FeedRequest {
@@ -177,23 +180,24 @@
         self.inner.borrow().evacuations.clone()
     }
 
-    /// Puts evacuations in force, unless newer ones already are; returns whether they were newer.
+    /// Puts evacuations in force if they are newer than the current ones, and returns whether they
+    /// are.
     pub fn set_evacuations(&self, evacuations: &Evacuations) -> bool {
         self.inner.borrow_mut().set_evacuations(evacuations)
     }
 
-    /// Returns the list of held requests in force.
+    /// Returns the quarantine list in force.
     pub fn quarantine(&self) -> Rc<QuarantineList> {
         self.inner.borrow().quarantine.clone()
     }
 
-    /// Puts a list of held requests in force, unless a newer one already is; returns whether it
-    /// was newer.
+    /// Puts a quarantine list in force if it is newer than the current one, and returns whether it
+    /// is.
     pub fn set_quarantine(&self, list: &QuarantineList) -> bool {
         self.inner.borrow_mut().set_quarantine(list)
     }
 
-    /// Returns what followers of this box are told beside upstreams.
+    /// Returns the state that followers of this box receive along with the upstream registry.
     pub fn in_force(&self) -> InForce {
         let inner = self.inner.borrow();
         InForce {
@@ -203,52 +207,52 @@
         }
     }
 
-    /// Returns how long ago the number was confirmed as the newest; `None` if never.
+    /// Returns the time since the number was confirmed as current; `None` if it never was.
     pub fn confirmed_age(&self) -> Option<Duration> {
         self.inner.borrow().confirmed_at.map(clock::since)
     }
 
-    /// Returns whether the number in force was confirmed of late.
+    /// Returns whether the last confirmation is at most [`PARENT_MAX_AGE`] old.
     fn is_confirmed(&self) -> bool {
         self.inner.borrow().is_confirmed()
     }
 
-    /// Puts a state that was applied here in force, unless a newer one already is.
+    /// Puts a state that was applied in this process in force if it is newer than the current one.
     pub fn replace(&self, state: &ConfigState) {
         let mut inner = self.inner.borrow_mut();
         if state.number() > inner.state.number() {
-            inner.arriving = None;
+            inner.transfer = None;
             inner.state = state.clone();
             inner.publish();
         }
     }
 
-    /// Notes that the number in force was confirmed as the newest at `at`.
+    /// Records that the number in force was confirmed as current at `at`.
     pub fn confirm(&self, at: Instant) {
         self.inner.borrow_mut().confirm(Some(at));
     }
 
-    /// Answers a child, waiting for news up to the hold that it asked for: a change, or a
-    /// confirmation where the child has none.
+    /// Answers a child. Waits up to the requested hold time for a change, or for a confirmation if
+    /// the child has none.
     pub async fn answer(&self, req: &FeedRequest) -> FeedAnswer {
         let started = clock::now();
         let hold = req.hold.min(MAX_HOLD);
-        let goes_on = req.after.is_some();
-        let news = goes_on
+        let continues = req.after.is_some();
+        let is_due = continues
             || self.number() > req.have
             || self.evacuations().revision() > req.evacuations
             || self.quarantine().revision > req.quarantine
             || (req.unconfirmed && self.is_confirmed());
-        if !news && !hold.is_zero() {
+        if !is_due && !hold.is_zero() {
             let (tx, rx) = oneshot::channel();
-            self.inner.borrow_mut().waiting.push(tx);
+            self.inner.borrow_mut().waiters.push(tx);
             let _ = compio::time::timeout(hold, rx).await;
         }
         let mut inner = self.inner.borrow_mut();
-        inner.waiting.retain(|tx| !tx.is_canceled());
-        let lacks = inner.state.number() > req.have;
-        let withheld = lacks && !self.backlog.has_room();
-        let part = if lacks && !withheld { inner.part(req) } else { SentPart::default() };
+        inner.waiters.retain(|tx| !tx.is_canceled());
+        let is_behind = inner.state.number() > req.have;
+        let withheld = is_behind && !self.backlog.has_room();
+        let part = if is_behind && !withheld { inner.part(req) } else { OutgoingPart::default() };
         log_part(req, inner.state.number(), &part, withheld);
         FeedAnswer {
             number: inner.state.number(),
@@ -271,13 +275,13 @@
         }
     }
 
-    /// Takes a parent's answer in; `round_trip` is the whole time since the request was sent.
-    fn take(
+    /// Processes a parent's answer; `round_trip` is the total time since the request was sent.
+    fn process_answer(
         &self,
         req: &FeedRequest,
         mut answer: FeedAnswer,
         round_trip: Duration,
-    ) -> anyhow::Result<Learned> {
+    ) -> anyhow::Result<FetchOutcome> {
         if let Some(packed) = answer.packed.take() {
             answer.delta = packed.delta()?;
         }
@@ -290,26 +294,26 @@
         }
         let evacuations_behind = answer.evacuated_at < inner.evacuations.revision();
         if answer.number < inner.state.number() || evacuations_behind {
-            // The parent is behind. What is in force stays; the parent confirms nothing.
-            return Ok(Learned::Nothing);
+            // The parent is behind: the configuration stays as it is, and nothing is confirmed.
+            return Ok(FetchOutcome::NoProgress);
         }
-        // The answer left the parent at most `round_trip - held` ago.
+        // The parent sent the answer at most `round_trip - held` ago.
         let transit = round_trip.saturating_sub(answer.held);
         let age = answer.confirmed_age.map(|age| age + transit);
         let (number, digest) = (answer.number, answer.digest);
         if number > inner.state.number() {
             let have = inner.state.number();
-            let arriving = inner.arriving.get_or_insert_with(|| Arriving::new(have));
-            let (snapshot, delta) = match arriving.take(req, answer) {
-                Taken::Nothing => return Ok(Learned::Nothing),
-                Taken::Unfit => {
-                    inner.arriving = None;
-                    return Ok(Learned::Nothing);
+            let transfer = inner.transfer.get_or_insert_with(|| Transfer::new(have));
+            let (snapshot, delta) = match transfer.process(req, answer) {
+                PartOutcome::Unavailable => return Ok(FetchOutcome::NoProgress),
+                PartOutcome::Restart => {
+                    inner.transfer = None;
+                    return Ok(FetchOutcome::NoProgress);
                 }
-                Taken::Duplicate | Taken::More => return Ok(Learned::Part),
-                Taken::Whole { snapshot, delta } => (snapshot, delta),
+                PartOutcome::Duplicate | PartOutcome::Incomplete => return Ok(FetchOutcome::Part),
+                PartOutcome::Complete { snapshot, delta } => (snapshot, delta),
             };
-            inner.arriving = None;
+            inner.transfer = None;
             inner.state.install(number, digest, snapshot, &delta)?;
             inner.publish();
         } else if digest != inner.state.digest() {
@@ -317,15 +321,15 @@
         }
         inner.confirm(age.and_then(|age| clock::now().checked_sub(age)));
         let confirmed = age.is_some_and(|age| age <= PARENT_MAX_AGE);
-        Ok(Learned::Newest { confirmed })
+        Ok(FetchOutcome::UpToDate { confirmed })
     }
 }
 
-/// Writes a line about a part that is sent, if it holds anything.
-fn log_part(req: &FeedRequest, number: ConfigNumber, part: &SentPart, withheld: bool) {
-    let begins = req.after.is_none();
-    // One line for each transfer, and for each time that it is held up.
-    if withheld || (begins && part.entities > 0) {
+/// Logs a part that is sent or withheld.
+fn log_part(req: &FeedRequest, number: ConfigNumber, part: &OutgoingPart, withheld: bool) {
+    let is_first = req.after.is_none();
+    // One line per transfer, and one each time that a part is withheld.
+    if withheld || (is_first && part.entities > 0) {
         log::info!(
             to = req.from.as_str(), have = req.have, number = number, entities = part.entities,
             more = part.end.is_some(), withheld = withheld;
@@ -334,9 +338,9 @@
     }
 }
 
-/// A part as an answer holds it.
+/// The part in an answer, compressed if the child accepts that.
 #[derive(Default)]
-struct SentPart {
+struct OutgoingPart {
     snapshot: bool,
     delta: Delta,
     packed: Option<PackedDelta>,
@@ -345,29 +349,29 @@
 }
 
 impl Inner {
-    /// Returns the part that a box asks for.
-    fn part(&mut self, req: &FeedRequest) -> SentPart {
+    /// Returns the requested part.
+    fn part(&mut self, req: &FeedRequest) -> OutgoingPart {
         let (state, after) = (&self.state, req.after.as_ref());
         if !req.unpacks {
             let Part { snapshot, delta, end } = state.part_since(req.have, after, PART_BYTES);
             let entities = delta.upserts.len() + delta.removals.len();
-            return SentPart { snapshot, delta, packed: None, entities, end };
+            return OutgoingPart { snapshot, delta, packed: None, entities, end };
         }
         let make = || state.part_since(req.have, after, PACKED_PART_BYTES);
         let PackedPart { snapshot, delta, entities, end } = self.parts.get(req.have, after, make);
-        SentPart { snapshot, delta: Delta::default(), packed: Some(delta), entities, end }
+        OutgoingPart { snapshot, delta: Delta::default(), packed: Some(delta), entities, end }
     }
 
     fn is_confirmed(&self) -> bool {
         self.confirmed_at.is_some_and(|at| clock::since(at) <= PARENT_MAX_AGE)
     }
 
-    /// Notes a confirmation; one that follows none of late wakes the children that wait.
+    /// Records a confirmation; if there was no recent one, wakes the waiting children.
     fn confirm(&mut self, at: Option<Instant>) {
         let was_confirmed = self.is_confirmed();
         self.confirmed_at = self.confirmed_at.max(at);
         if !was_confirmed && self.is_confirmed() {
-            self.waiting.clear();
+            self.waiters.clear();
         }
     }
 
@@ -380,7 +384,7 @@
                 "evacuated failure domains changed"
             );
             self.evacuations = Rc::new(evacuations.clone());
-            self.waiting.clear();
+            self.waiters.clear();
         }
         newer
     }
@@ -393,7 +397,7 @@
                 "list of held requests changed"
             );
             self.quarantine = Rc::new(list.clone());
-            self.waiting.clear();
+            self.waiters.clear();
         }
         newer
     }
@@ -401,32 +405,32 @@
     fn publish(&mut self) {
         self.parts.clear();
         self.view = Rc::new(FleetView::new(&self.state));
-        // Closing the channels wakes the children that wait.
-        self.waiting.clear();
+        // Dropping the senders wakes the waiting children.
+        self.waiters.clear();
     }
 }
 
-/// Finds the parents of a box: first the one in the tree, then those to fall back on.
+/// Returns the parents of a box in order of preference: the one in the tree, then the fallbacks.
 ///
-/// `boxes` are the live boxes in order of name. The first `fanout` boxes ask
-/// the control boxes; box `i` asks box `(i - fanout) / fanout`. Every box falls
-/// back on the control boxes, in an order that starts at a different one for each.
+/// `boxes` are the live boxes in order of name, and `own` is the index of this box. The first
+/// `fanout` boxes ask the control boxes; box `i` asks box `(i - fanout) / fanout`. Every box falls
+/// back on the control boxes, beginning with a different one for consecutive boxes.
 pub fn parents(
     own: usize,
     boxes: &[SocketAddr],
     control: &[SocketAddr],
     fanout: usize,
 ) -> Vec<SocketAddr> {
-    let mut found = Vec::with_capacity(control.len() + 1);
+    let mut parents = Vec::with_capacity(control.len() + 1);
     if own >= fanout {
-        found.extend(boxes.get((own - fanout) / fanout));
+        parents.extend(boxes.get((own - fanout) / fanout));
     }
     let start = own.checked_rem(control.len()).unwrap_or(0);
-    found.extend(control[start..].iter().chain(&control[..start]));
-    found
+    parents.extend(control[start..].iter().chain(&control[..start]));
+    parents
 }
 
-/// Follows the feed until `stop`; `find_parents` is asked anew for each round.
+/// Follows the feed until `stop` is set; calls `find_parents` before each round.
 pub async fn follow(
     own: BoxName,
     cell: &ConfigCell,
@@ -445,19 +449,19 @@
     }
 }
 
-/// Asks the parents in turn, or a few at one time while there is no confirmation, until one
-/// answers that is not behind.
+/// Asks the parents in turn, or several concurrently while there is no recent confirmation, until
+/// one brings this box up to date with a recent confirmation.
 async fn follow_once(
     own: &BoxName,
     cell: &ConfigCell,
     client: &BoxClient,
     parents: Vec<SocketAddr>,
 ) -> bool {
-    let at_once = if cell.is_confirmed() { 1 } else { ASKED_AT_ONCE };
-    for group in parents.chunks(at_once) {
-        let asked = group.iter().map(|parent| fetch(own, cell, client, *parent, HOLD));
-        let mut asked: FuturesUnordered<_> = asked.collect();
-        while let Some(is_fresh) = asked.next().await {
+    let concurrency = if cell.is_confirmed() { 1 } else { MAX_CONCURRENT_PARENTS };
+    for group in parents.chunks(concurrency) {
+        let requests = group.iter().map(|parent| fetch(own, cell, client, *parent, HOLD));
+        let mut requests: FuturesUnordered<_> = requests.collect();
+        while let Some(is_fresh) = requests.next().await {
             if is_fresh {
                 return true;
             }
@@ -466,8 +470,8 @@
     false
 }
 
-/// Asks one box for what is newer there, part by part unless another task already does so;
-/// returns whether what is in force here is what that box has, and was confirmed of late.
+/// Fetches newer state from one box, in several parts unless another task already transfers some;
+/// returns whether this box is then up to date with it, and it has a recent confirmation.
 pub async fn fetch(
     own: &BoxName,
     cell: &ConfigCell,
@@ -475,40 +479,42 @@
     parent: SocketAddr,
     hold: Duration,
 ) -> bool {
-    let (mut hold, mut pull) = (hold, None);
+    let (mut hold, mut guard) = (hold, None);
     loop {
-        match ask(own, cell, client, parent, hold).await {
-            Learned::Newest { confirmed } => return confirmed,
-            Learned::Nothing => return false,
-            Learned::Part => {}
+        match request_part(own, cell, client, parent, hold).await {
+            FetchOutcome::UpToDate { confirmed } => return confirmed,
+            FetchOutcome::NoProgress => return false,
+            FetchOutcome::Part => {}
         }
-        pull = pull.or_else(|| cell.begin_pull());
-        if pull.is_none() {
+        guard = guard.or_else(|| cell.begin_transfer());
+        if guard.is_none() {
             return false;
         }
         hold = Duration::ZERO;
     }
 }
 
-/// Asks one box once.
-async fn ask(
+/// Sends one request to a parent and processes the answer.
+async fn request_part(
     own: &BoxName,
     cell: &ConfigCell,
     client: &BoxClient,
     parent: SocketAddr,
     hold: Duration,
-) -> Learned {
+) -> FetchOutcome {
     let req = cell.request(own, hold);
     let sent = clock::now();
     let answer = client.call::<_, FeedAnswer>(parent, FEED_PATH, &req, req.hold + ANSWER_MARGIN);
-    let learned = match answer.await {
-        Ok(answer) => cell.take(&req, answer, clock::since(sent)),
+    let outcome = match answer.await {
+        Ok(answer) => cell.process_answer(&req, answer, clock::since(sent)),
         Err(err) => Err(err.into()),
     };
-    match learned {
-        Ok(Learned::Nothing) => log::debug!("feed: box {parent} is behind or has no room"),
-        Ok(Learned::Newest { confirmed: false }) => {
-            log::debug!("feed: box {parent} has lost touch with the leader");
+    match outcome {
+        Ok(FetchOutcome::NoProgress) => {
+            log::debug!("feed: box {parent} is behind or withheld its part");
+        }
+        Ok(FetchOutcome::UpToDate { confirmed: false }) => {
+            log::debug!("feed: box {parent} has no recent confirmation from the leader");
         }
         Ok(_) => {}
         Err(ref err) => {
@@ -520,5 +526,5 @@
             );
         }
     }
-    learned.unwrap_or(Learned::Nothing)
+    outcome.unwrap_or(FetchOutcome::NoProgress)
 }
--- a/crates/hatchpitch/src/config/hosted.rs
+++ b/crates/hatchpitch/src/config/hosted.rs
@@ -1,8 +1,8 @@
-//! Routes by host and path to services whose upstreams announce themselves.
+//! Routes by host and path to services whose upstreams register themselves.
 //!
-//! The product's own interface names pools and services; a hosted route is for
-//! callers that name a host and a path, and whose requests and answers are
-//! passed on as they come.
+//! The native API addresses pools and services by name. A hosted route serves
+//! callers that address a host and a path, and whose requests and responses are
+//! forwarded unchanged.
 
 use std::time::Duration;
 
@@ -10,128 +10,130 @@
 
 use crate::ids::{RegionName, ServiceName};
 
-/// How urgent a request is; 0 goes first, 9 last.
+/// Urgency of a request: 0 is the most urgent, 9 the least.
 pub type Urgency = u8;
 
-/// How often one request may run.
+/// How many times one request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunPolicy {
-    /// As often as it takes.
+    /// Any number of times.
     Repeatable,
     /// At most once.
     Once,
-    /// At most once; the answer is a stream of events.
+    /// At most once; the response is a stream of events.
     Stream,
 }
 
-/// One of the services that share a route's requests.
+/// A service that receives a weighted share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: ServiceName,
-    /// Its share, as a part of the sum of all weights.
+    /// Its weight relative to the sum of the weights of all targets.
     pub weight: u32,
 }
 
 /// A route by host and path.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostedRoute {
-    /// Its name, for logs and metrics.
+    /// Its name in logs and metrics.
     pub name: String,
-    /// Host that callers name.
+    /// Host name in callers' requests.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// How often one request may run.
+    /// How many times one request may be executed.
     pub runs: RunPolicy,
-    /// Longest time that a request is held.
+    /// Maximum time for which a request is held.
     pub time_limit: Duration,
-    /// Time within which an answer, or the first event of a stream, is worth its full price.
+    /// Target latency of a response, or of the first event of a stream; a later one loses value.
     pub answer_aim: Duration,
-    /// Longest pause between events that is still in time.
+    /// Target upper bound of the time between two events of a stream.
     pub gap_aim: Option<Duration>,
-    /// Rank among the routes.
+    /// Urgency of its requests.
     pub urgency: Urgency,
-    /// Services that share the requests; never empty, and the weights never add up to 0.
+    /// Services that share the requests; never empty, and the sum of the weights is not 0.
     pub targets: Vec<Target>,
-    /// Upstreams that one request may be sent to at most.
+    /// Maximum number of upstreams that one request is sent to.
     pub max_upstreams: u32,
-    /// Whether requests without a key are let in.
+    /// Whether requests without a key are accepted.
     pub anonymous: bool,
-    /// Whether a caller may go on reading after an event that it names.
+    /// Whether a caller may resume a stream after a given event.
     pub resumable: bool,
-    /// Regions whose upstreams may run its requests; all if there are none.
-    // Left out where it is empty, so that what was accepted before keeps its digest.
+    /// Regions whose upstreams may run its requests; empty allows all regions.
+    // Not encoded if empty, so that the digests of configurations accepted before the field
+    // existed stay the same.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub regions: Vec<RegionName>,
 }
 
-/// What an engine's pool offers.
+/// Capacity and features of the engines of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Generations that run at once.
+    /// Maximum number of concurrent generations.
     pub slots: u64,
-    /// Memory that they share with cached prompts, in tokens.
+    /// KV memory shared by generations and cached prompts, in tokens.
     pub memory_tokens: u64,
-    /// Size of one token's memory, in bytes.
+    /// Size of one token in KV memory, in bytes.
     pub token_bytes: u64,
-    /// Bandwidth of an engine's link for memory, in megabits a second.
+    /// Bandwidth for KV transfers of one engine, in megabits per second.
     pub link_mbps: f64,
-    /// Whether a running generation can be moved to another engine.
+    /// Whether a running generation can be migrated to another engine.
     pub moves: bool,
-    /// Whether an engine can keep a copy of a generation up to date at another one.
+    /// Whether an engine can continuously replicate a generation to another one.
     pub backups: bool,
-    /// Tokens that one event of a stream holds.
+    /// Number of tokens per event of a stream.
     pub tokens_per_event: u64,
-    /// How long a copy is kept that nobody uses.
+    /// Lifetime of an unused copy.
     pub copy_life: Duration,
 }
 
 impl Eq for EngineSpec {}
 
 impl EngineSpec {
-    /// Returns how many tokens of memory an engine's link takes in a second.
+    /// Returns the KV transfer rate of one engine, in tokens per second.
     pub fn copy_rate(&self) -> f64 {
         let bits = self.token_bytes as f64 * 8.0;
         if bits > 0.0 { self.link_mbps * 1e6 / bits } else { f64::INFINITY }
     }
 }
 
-/// A service whose upstreams announce themselves.
+/// A service whose upstreams register themselves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostedService {
     /// Its name.
     pub name: ServiceName,
-    /// Connections that one upstream takes from all boxes together.
+    /// Maximum number of connections to one upstream from all boxes together.
     pub max_connections: u64,
-    /// What its engines offer; `None` for a plain service.
+    /// Properties of its engines; `None` for a service without engines.
     pub engine: Option<EngineSpec>,
-    /// What its upstreams bear while they are cold; `None` if as much as ever.
-    // Left out where it is not set, so that what was accepted before keeps its digest.
+    /// Reduced capacity of its upstreams after a start; `None` if it is not reduced.
+    // Not encoded if unset, so that the digests of configurations accepted before the field
+    // existed stay the same.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<ColdStart>,
 }
 
-/// How upstreams of a service behave after a start.
+/// Reduced capacity of a service's upstreams after a start.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// How long they stay cold.
+    /// How long an upstream stays cold after it started.
     pub lasts: Duration,
-    /// Requests a second that one bears meanwhile.
+    /// Requests per second that a cold upstream can serve.
     pub rate: f64,
 }
 
 impl Eq for ColdStart {}
 
-/// Bounds on callers of hosted routes.
+/// Limits for callers of hosted routes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostedLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's header section, in bytes.
     pub max_header: u64,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: u64,
-    /// Time in which a head has to arrive.
+    /// Time limit for receiving the header section.
     pub header_timeout: Duration,
-    /// Time that a connection may rest between requests.
+    /// Time that a connection may stay idle between requests.
     pub idle_timeout: Duration,
 }
--- a/crates/hatchpitch/src/config/messages.rs
+++ b/crates/hatchpitch/src/config/messages.rs
@@ -1,4 +1,4 @@
-//! Messages about configuration: outcomes for operators, deltas for boxes.
+//! Configuration messages: outcomes for operators and deltas for boxes.
 
 use std::time::Duration;
 
@@ -10,27 +10,28 @@
 use crate::ids::{BoxName, ConfigNumber, Digest};
 use crate::quarantine::{self, QuarantineList};
 
-/// What became of a submitted fleet file. The same submission always gets the same outcome.
+/// The outcome of submitting a fleet file. Submissions are idempotent: resubmitting a file
+/// returns the same outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum ApplyOutcome {
-    /// The content is the accepted one for its number.
+    /// The content is accepted under its number.
     Accepted {
         /// The file's number.
         number: ConfigNumber,
-        /// SHA-256 of the checked content, in hexadecimal digits.
+        /// SHA-256 digest of the validated content, in hexadecimal digits.
         content: String,
     },
-    /// Other content was accepted first under this number.
+    /// Different content was accepted under this number before.
     Taken {
         /// The file's number.
         number: ConfigNumber,
-        /// Content that holds the number.
+        /// Digest of the accepted content, in hexadecimal digits.
         winner: String,
-        /// Who submitted the winner.
+        /// Name of the operator who submitted the accepted content.
         by: String,
     },
-    /// The number is below the newest one and was never accepted.
+    /// The number is not above the newest one, and no accepted content is known for it.
     Stale {
         /// The file's number.
         number: ConfigNumber,
@@ -39,83 +40,83 @@
     },
 }
 
-/// What changed between two numbers.
+/// The changes between two configuration numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Delta {
-    /// Entities that are new or changed.
+    /// New and changed entities.
     pub upserts: Vec<Entity>,
-    /// Entities that are gone.
+    /// Keys of removed entities.
     pub removals: Vec<EntityKey>,
 }
 
-/// A box asks its parent for changes; the parent may hold the answer back for `hold`.
+/// A long-polling request for changes, from a box to its parent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FeedRequest {
-    /// Who asks.
+    /// Name of the requesting box.
     pub from: BoxName,
-    /// The number that the box has, 0 for none.
+    /// The box's configuration number, 0 for none.
     pub have: ConfigNumber,
-    /// How long the parent may wait for a change.
+    /// How long the parent may delay the answer to wait for a change.
     pub hold: Duration,
-    /// Whether nobody has confirmed the number to the box of late, so that a confirmation is
-    /// news to it.
+    /// Whether the box has no recent confirmation of its number, so that the parent answers
+    /// as soon as it has one.
     #[serde(default)]
     pub unconfirmed: bool,
-    /// The last entity of the part that came before, if this request goes on with a transfer.
+    /// The last entity of the previous part, if this request continues a transfer.
     #[serde(default)]
     pub after: Option<EntityKey>,
-    /// The revision of the evacuations that the box has, 0 for none.
+    /// The box's revision of the evacuations, 0 for none.
     #[serde(default)]
     pub evacuations: Revision,
-    /// The revision of the list of held requests that the box has, 0 for none.
+    /// The box's revision of the quarantine list, 0 for none.
     #[serde(default)]
     pub quarantine: quarantine::Revision,
-    /// Whether the box can unpack changes.
+    /// Whether the box accepts compressed changes.
     #[serde(default)]
     pub unpacks: bool,
 }
 
-/// What follows the part of a configuration that an answer holds.
+/// What remains to be sent after the part that an answer holds.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Rest {
-    /// Nothing.
+    /// Nothing; this is the last part.
     #[default]
     Nothing,
-    /// What comes after this entity.
+    /// The changes after this entity.
     After(EntityKey),
-    /// Everything: the parent has too much to send at this moment.
+    /// All changes: the parent sent none, because its send backlog is full.
     Withheld,
 }
 
 /// The parent's answer to a [`FeedRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FeedAnswer {
-    /// The parent's number.
+    /// The parent's configuration number.
     pub number: ConfigNumber,
-    /// Digest of the whole fleet at `number`.
+    /// Digest of the complete fleet at `number`.
     pub digest: Digest,
-    /// Whether `delta` starts from nothing instead of from the number asked with.
+    /// Whether `delta` starts from an empty configuration instead of the requested number.
     pub snapshot: bool,
-    /// What changed, or a part of it.
+    /// The changes, or a part of them.
     pub delta: Delta,
-    /// The same for a box that can unpack it; `delta` is empty then.
+    /// The compressed changes, if the box accepts them; `delta` is empty in that case.
     #[serde(default)]
     pub packed: Option<PackedDelta>,
-    /// What of the changes is not in `delta`.
+    /// The changes that are not part of this answer.
     #[serde(default)]
     pub rest: Rest,
-    /// Time since the control leader confirmed that `number` and `evacuated_at` are the newest;
-    /// `None` if never.
+    /// Time since the control leader confirmed that `number` and `evacuated_at` are current;
+    /// `None` if it never did.
     pub confirmed_age: Option<Duration>,
-    /// How long the parent held the request.
+    /// How long the parent delayed the answer.
     pub held: Duration,
     /// The parent's revision of the evacuations.
     #[serde(default)]
     pub evacuated_at: Revision,
-    /// The evacuations, if they are newer than those asked with.
+    /// The evacuations, if they are newer than the requested revision.
     #[serde(default)]
     pub evacuations: Option<Evacuations>,
-    /// The list of held requests, if it is newer than the one asked with.
+    /// The quarantine list, if it is newer than the requested revision.
     #[serde(default)]
     pub quarantine: Option<QuarantineList>,
 }
--- a/crates/hatchpitch/src/config/mod.rs
+++ b/crates/hatchpitch/src/config/mod.rs
@@ -1,10 +1,9 @@
-//! The fleet file: parsed, checked whole, replicated, and put in force at every box.
+//! The fleet configuration: parsing, validation, replication, and distribution to all boxes.
 //!
-//! A fleet is a flat table of entities. That makes the difference between two
-//! fleets, and the digest of a whole one, cheap to work out from what changed,
-//! so the cost of a change does not depend on the size of the file.
+//! A fleet is a flat table of entities. The difference between two fleets and the
+//! digest of a fleet can therefore be computed from the changed entities alone, so
+//! that the cost of distributing a change does not depend on the size of the file.
 
-pub mod arriving;
 pub mod check;
 pub mod entity;
 pub mod feed;
@@ -13,6 +12,7 @@
 pub mod packed;
 pub mod raw;
 pub mod state;
+pub mod transfer;
 pub mod verify;
 pub mod view;
 
--- a/crates/hatchpitch/src/config/packed.rs
+++ b/crates/hatchpitch/src/config/packed.rs
@@ -1,8 +1,8 @@
-//! Parts of a configuration as they travel between boxes: compressed, and made once.
+//! Compressed parts of a configuration, and the cache of those sent to other boxes.
 //!
-//! Entities are alike but for their names, and all boxes of a fleet ask for the same parts at the
-//! same moment. For 1,400 new routes a box gets 20.7 KB, which are 366 KB encoded, and a part is
-//! encoded once for all that ask.
+//! Entities of one kind differ in little but their names, so they compress well: 1,400 new routes
+//! take 366 KB encoded and 20.7 KB compressed. All boxes of a fleet request the same parts at the
+//! same time, so each part is encoded once and cached.
 
 use std::collections::VecDeque;
 use std::io::Write as _;
@@ -16,51 +16,51 @@
 use super::state::Part;
 use crate::ids::ConfigNumber;
 
-/// Most bytes that a delta takes unpacked: the most that a message between boxes may have.
+/// Maximum size of a decompressed delta, in bytes: the limit of a message between boxes.
 const MAX_UNPACKED: usize = 64 * 1024 * 1024;
-/// Parts that are kept: those of one change, for boxes that ask at different speeds, and a few for
-/// boxes that are further behind.
-const KEPT_PARTS: usize = 16;
+/// Number of cached parts: enough for the parts of one change, which boxes request at different
+/// speeds, and for a few boxes that are further behind.
+const MAX_CACHED_PARTS: usize = 16;
 
-/// Changes of entities, encoded and compressed.
+/// An encoded and compressed [`Delta`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedDelta(#[serde(with = "serde_bytes")] Vec<u8>);
 
 impl PackedDelta {
-    /// Packs changes.
+    /// Encodes and compresses changes.
     ///
     /// # Panics
     ///
-    /// Panics if they do not encode, which their types rule out.
+    /// Panics if the changes cannot be encoded, which their types rule out.
     pub fn new(delta: &Delta) -> Self {
         let encoded = rmp_serde::to_vec_named(delta).expect("entities always encode");
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         let packed = encoder.write_all(&encoded).and_then(|()| encoder.finish());
-        Self(packed.expect("memory takes whatever is written"))
+        Self(packed.expect("writing to a Vec cannot fail"))
     }
 
-    /// Returns how many bytes it takes.
+    /// Returns the compressed size, in bytes.
     pub fn packed_len(&self) -> usize {
         self.0.len()
     }
 
-    /// Unpacks the changes.
+    /// Decompresses and decodes the changes.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are none of [`PackedDelta::new`], or take more than
-    /// a message between boxes may have.
+    /// Returns an error if the bytes are not a compressed delta, or if they decompress to more
+    /// than the limit of a message between boxes.
     pub fn delta(&self) -> anyhow::Result<Delta> {
-        let mut decoder = DeflateDecoder::new(Bounded(Vec::new()));
+        let mut decoder = DeflateDecoder::new(BoundedBuffer(Vec::new()));
         decoder.write_all(&self.0)?;
         Ok(rmp_serde::from_slice(&decoder.finish()?.0)?)
     }
 }
 
-/// Bytes that are unpacked, up to a bound.
-struct Bounded(Vec<u8>);
+/// A buffer of at most [`MAX_UNPACKED`] bytes; writing more is an error.
+struct BoundedBuffer(Vec<u8>);
 
-impl std::io::Write for Bounded {
+impl std::io::Write for BoundedBuffer {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         if self.0.len() + buf.len() > MAX_UNPACKED {
             return Err(std::io::Error::other(format!("more than {MAX_UNPACKED} bytes unpacked")));
@@ -74,16 +74,16 @@
     }
 }
 
-/// A part that is ready to be sent.
+/// A compressed part that is ready to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PackedPart {
-    /// Whether the changes start from nothing.
+    /// Whether the changes start from an empty configuration.
     pub snapshot: bool,
-    /// The changes.
+    /// The compressed changes.
     pub delta: PackedDelta,
-    /// How many entities they hold.
+    /// Number of entities that are changed or removed.
     pub entities: usize,
-    /// The last entity; `None` if nothing follows.
+    /// Key of the last entity; `None` if this is the last part.
     pub end: Option<EntityKey>,
 }
 
@@ -95,34 +95,36 @@
     }
 }
 
-/// The parts of the number in force that were asked for of late.
+/// A cache of recently requested parts of the configuration in force; the oldest is evicted.
 #[derive(Debug, Default)]
-pub struct PackedParts(VecDeque<(PartKey, PackedPart)>);
+pub struct PartCache(VecDeque<(PartKey, PackedPart)>);
 
-/// What a part begins at: the number that the changes are since, and the entity before.
+/// Identifies a part: the number that its changes start from, and the key of the entity before it.
 type PartKey = (ConfigNumber, Option<EntityKey>);
 
-impl PackedParts {
-    /// Returns the part that begins so, made by `make` unless it was asked for of late.
+impl PartCache {
+    /// Returns the part of the changes since `have` that begins after `after`; calls `make` if it
+    /// is not cached.
     pub fn get(
         &mut self,
         have: ConfigNumber,
         after: Option<&EntityKey>,
         make: impl FnOnce() -> Part,
     ) -> PackedPart {
-        let known = self.0.iter().find(|((since, key), _)| *since == have && key.as_ref() == after);
-        if let Some((_, part)) = known {
+        let cached =
+            self.0.iter().find(|((since, key), _)| *since == have && key.as_ref() == after);
+        if let Some((_, part)) = cached {
             return part.clone();
         }
         let part = PackedPart::from(make());
-        if self.0.len() >= KEPT_PARTS {
+        if self.0.len() >= MAX_CACHED_PARTS {
             self.0.pop_front();
         }
         self.0.push_back(((have, after.cloned()), part.clone()));
         part
     }
 
-    /// Forgets all parts, as another number is in force.
+    /// Removes all parts; called when the configuration in force changes.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/hatchpitch/src/config/raw.rs
+++ b/crates/hatchpitch/src/config/raw.rs
@@ -1,9 +1,9 @@
-//! The shape of a fleet file before it is checked. Unknown keys are errors.
+//! The serde representation of a fleet file before validation. Unknown keys are errors.
 
 use serde::Deserialize;
 use toml::Spanned;
 
-/// A whole fleet file.
+/// A fleet file before validation.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawFleet {
--- a/crates/hatchpitch/src/config/state.rs
+++ b/crates/hatchpitch/src/config/state.rs
@@ -1,10 +1,10 @@
 //! The configuration in force, as a deterministic state machine without I/O.
 //!
 //! Invariants, checked by [`super::verify`]:
-//! - the number in force never goes down;
-//! - the digest is that of the entities;
-//! - each accepted number has one content for ever (kept for the last
-//!   [`KEPT_NUMBERS`]; an older number is refused as stale).
+//! - the number in force never decreases;
+//! - the digest matches the entities;
+//! - the content of an accepted number never changes (the digests of the last
+//!   [`MAX_ACCEPTED`] numbers are kept; older numbers are rejected as stale).
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -16,75 +16,75 @@
 use super::messages::{ApplyOutcome, Delta};
 use crate::ids::{ConfigNumber, Digest};
 
-/// Accepted numbers whose content is remembered: five days at 13,000 changes a day.
-pub const KEPT_NUMBERS: usize = 65_536;
-/// Removed entities that are remembered; a box that is further behind gets a snapshot.
-pub const KEPT_REMOVALS: usize = 16_384;
+/// Number of accepted numbers whose digests are kept: enough for five days at 13,000 changes a day.
+pub const MAX_ACCEPTED: usize = 65_536;
+/// Number of removals that are kept for deltas; a box that is further behind gets a snapshot.
+pub const MAX_REMOVALS: usize = 16_384;
 
-/// Bytes of an encoded key beside its name.
+/// Size of an encoded entity key without its name, in bytes.
 const KEY_BYTES: usize = 4;
 
-/// A part of what changed since a number.
+/// A part of the changes since a number.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Part {
-    /// Whether the changes start from nothing instead of from the number asked with.
+    /// Whether the changes start from an empty configuration instead of the requested number.
     pub snapshot: bool,
     /// The changes.
     pub delta: Delta,
-    /// The last entity of this part; `None` if nothing follows.
+    /// Key of the last entity; `None` if this is the last part.
     pub end: Option<EntityKey>,
 }
 
-/// A change as the replicated log carries it: only what differs from `base`.
+/// A change as stored in the replicated log: the difference from `base`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigChange {
     /// The number of the new configuration.
     pub number: ConfigNumber,
-    /// Digest of the whole new fleet.
+    /// Digest of the complete new fleet.
     pub content: Digest,
-    /// The number that `delta` starts from.
+    /// The number that `delta` is relative to.
     pub base: ConfigNumber,
-    /// What changes.
+    /// The changes.
     pub delta: Delta,
     /// Name of the operator.
     pub by: String,
-    /// The text that operators read back.
+    /// The source text of the file, for operators to read back.
     #[serde(default)]
     pub document: Option<serde_bytes::ByteBuf>,
 }
 
-/// The content that holds a number.
+/// The content accepted under a number: its digest, and the operator who submitted it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct AcceptedContent {
     pub(super) content: Digest,
     pub(super) by: String,
 }
 
-/// An entity and the number that last changed it.
+/// An entity and the number at which it last changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Versioned {
     pub(super) entity: Entity,
     pub(super) changed_at: ConfigNumber,
 }
 
-/// Why a delta could not be put in force at a box.
+/// The reason why a delta could not be installed at a box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InstallError {
-    /// The delta leads to a lower number than the one in force.
-    GoesBack {
+    /// The delta's number is lower than the one in force.
+    NumberDecreases {
         /// The number in force.
         have: ConfigNumber,
         /// The number offered.
         offered: ConfigNumber,
     },
-    /// The digest of the result is not the one announced.
+    /// The digest of the result differs from the one that the parent sent.
     DigestDiffers,
 }
 
 impl std::fmt::Display for InstallError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::GoesBack { have, offered } => {
+            Self::NumberDecreases { have, offered } => {
                 write!(f, "number {offered} offered while {have} is in force")
             }
             Self::DigestDiffers => write!(f, "digest of the configuration differs"),
@@ -94,25 +94,25 @@
 
 impl std::error::Error for InstallError {}
 
-/// The configuration in force and what is needed to bring others up to it.
+/// The configuration in force, with the history that deltas for other boxes are made from.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ConfigState {
     pub(super) number: ConfigNumber,
     pub(super) digest: Digest,
     pub(super) entities: BTreeMap<EntityKey, Versioned>,
     pub(super) removed: BTreeMap<EntityKey, ConfigNumber>,
-    /// Deltas can be made from this number on; from an older one only snapshots.
+    /// Lowest number that a delta can start from; a box with a lower one gets a snapshot.
     pub(super) delta_floor: ConfigNumber,
     pub(super) accepted: BTreeMap<ConfigNumber, AcceptedContent>,
 }
 
 impl ConfigState {
-    /// Returns the number in force, 0 before the first file.
+    /// Returns the number in force, 0 before the first fleet file.
     pub fn number(&self) -> ConfigNumber {
         self.number
     }
 
-    /// Returns the digest of the whole fleet in force.
+    /// Returns the digest of the complete fleet in force.
     pub fn digest(&self) -> Digest {
         self.digest
     }
@@ -122,39 +122,40 @@
         self.entities.values().map(|v| &v.entity)
     }
 
-    /// Returns the digest of the content accepted under `number` and who submitted it, if it
-    /// is remembered.
+    /// Returns the digest of the content accepted under `number` and the operator who submitted
+    /// it, if it is still kept.
     pub fn accepted_under(&self, number: ConfigNumber) -> Option<(Digest, &str)> {
         self.accepted.get(&number).map(|a| (a.content, a.by.as_str()))
     }
 
-    /// Works out what a submitted fleet would change.
+    /// Computes the change that a submitted fleet makes.
     ///
     /// # Errors
     ///
-    /// Returns the outcome at once if the number is used or stale.
+    /// Returns the final outcome if the number is already taken or stale.
     pub fn prepare(&self, fleet: &Fleet, by: &str) -> Result<ConfigChange, ApplyOutcome> {
         let content = fleet.digest();
-        if let Some(outcome) = self.settled(fleet.number, content) {
+        if let Some(outcome) = self.existing_outcome(fleet.number, content) {
             return Err(outcome);
         }
         let changed = |key: &EntityKey, entity: &Entity| {
             self.entities.get(key).is_none_or(|have| have.entity != *entity)
         };
         let new = fleet.entities.iter().filter(|(key, entity)| changed(key, entity));
-        let gone = self.entities.keys().filter(|key| !fleet.entities.contains_key(*key));
+        let removed = self.entities.keys().filter(|key| !fleet.entities.contains_key(*key));
         let delta = Delta {
             upserts: new.map(|(_, entity)| entity.clone()).collect(),
-            removals: gone.cloned().collect(),
+            removals: removed.cloned().collect(),
         };
         let by = by.to_owned();
         let document = fleet.document.clone().map(serde_bytes::ByteBuf::from);
         Ok(ConfigChange { number: fleet.number, content, base: self.number, delta, by, document })
     }
 
-    /// Applies a committed change; `None` if another change came between and it must be prepared anew.
+    /// Applies a committed change; returns `None` if its base is outdated, so that it has to be
+    /// prepared again.
     pub fn apply(&mut self, change: ConfigChange) -> Option<ApplyOutcome> {
-        if let Some(outcome) = self.settled(change.number, change.content) {
+        if let Some(outcome) = self.existing_outcome(change.number, change.content) {
             return Some(outcome);
         }
         if change.base != self.number {
@@ -162,23 +163,24 @@
         }
         self.merge(&change.delta, change.number);
         self.number = change.number;
-        debug_assert_eq!(self.digest, change.content, "the delta leads to the content");
+        debug_assert_eq!(self.digest, change.content, "the delta results in the announced content");
         let accepted = AcceptedContent { content: change.content, by: change.by };
         self.accepted.insert(change.number, accepted);
-        while self.accepted.len() > KEPT_NUMBERS {
+        while self.accepted.len() > MAX_ACCEPTED {
             self.accepted.pop_first();
         }
         Some(accepted_outcome(change.number, change.content))
     }
 
-    /// Returns what bringing a box from `have` to the number in force takes; `true` means a snapshot.
+    /// Returns the delta from `have` to the number in force; `true` means that it is a snapshot.
     pub fn delta_since(&self, have: ConfigNumber) -> (bool, Delta) {
         let part = self.part_since(have, None, usize::MAX);
         (part.snapshot, part.delta)
     }
 
-    /// Returns the first changes since `have` of the entities after `after`, in order of their
-    /// keys: at least one, and no more than about `max_bytes` of them.
+    /// Returns the next part of the changes since `have`, beginning after the entity `after`, in
+    /// order of keys. It holds at least one change if there is any, and exceeds `max_bytes` by
+    /// less than its last change.
     pub fn part_since(
         &self,
         have: ConfigNumber,
@@ -209,8 +211,8 @@
         part
     }
 
-    /// Iterates over what changed since a number after an entity, in order of keys; `None` stands
-    /// for an entity that is gone.
+    /// Iterates in order of keys over the changes since a number that follow the entity `after`;
+    /// `None` stands for a removed entity.
     fn changes<'a>(
         &'a self,
         since: ConfigNumber,
@@ -224,7 +226,7 @@
         let mut removals = removals.filter(move |(_, at)| with_removals && **at > since).peekable();
         std::iter::from_fn(move || {
             let removal_is_next = match (upserts.peek(), removals.peek()) {
-                // No key is in both tables.
+                // No key is both present and removed.
                 (Some((upsert, _)), Some((removal, _))) => removal < upsert,
                 (upsert, _) => upsert.is_none(),
             };
@@ -236,11 +238,11 @@
         })
     }
 
-    /// Puts a delta or snapshot from another box in force here; nothing changes on an error.
+    /// Applies a delta or snapshot from another box; the state is unchanged on an error.
     ///
     /// # Errors
     ///
-    /// Returns an [`InstallError`] if the number would go back or the digest differs.
+    /// Returns an [`InstallError`] if the number would decrease or the digest differs.
     pub fn install(
         &mut self,
         number: ConfigNumber,
@@ -249,7 +251,7 @@
         delta: &Delta,
     ) -> Result<(), InstallError> {
         if number < self.number {
-            return Err(InstallError::GoesBack { have: self.number, offered: number });
+            return Err(InstallError::NumberDecreases { have: self.number, offered: number });
         }
         if self.digest_after(snapshot, delta) != digest {
             return Err(InstallError::DigestDiffers);
@@ -265,7 +267,7 @@
         Ok(())
     }
 
-    /// Returns the digest that merging `delta` would lead to; costs what the delta holds.
+    /// Returns the digest after merging `delta`, in time proportional to the size of the delta.
     fn digest_after(&self, snapshot: bool, delta: &Delta) -> Digest {
         let have = |key: &EntityKey| if snapshot { None } else { self.entities.get(key) };
         let mut digest = if snapshot { [0; 32] } else { self.digest };
@@ -281,12 +283,13 @@
         digest
     }
 
-    fn settled(&self, number: ConfigNumber, content: Digest) -> Option<ApplyOutcome> {
-        if let Some(held) = self.accepted.get(&number) {
-            if held.content == content {
+    /// Returns the outcome of a submission whose number is already taken or stale.
+    fn existing_outcome(&self, number: ConfigNumber, content: Digest) -> Option<ApplyOutcome> {
+        if let Some(accepted) = self.accepted.get(&number) {
+            if accepted.content == content {
                 return Some(accepted_outcome(number, content));
             }
-            let (winner, by) = (to_hex(&held.content), held.by.clone());
+            let (winner, by) = (to_hex(&accepted.content), accepted.by.clone());
             return Some(ApplyOutcome::Taken { number, winner, by });
         }
         let stale = number <= self.number;
@@ -313,7 +316,7 @@
     }
 
     fn trim_removed(&mut self) {
-        while self.removed.len() > KEPT_REMOVALS {
+        while self.removed.len() > MAX_REMOVALS {
             let oldest = self.removed.iter().min_by_key(|(_, at)| **at);
             let Some((key, at)) = oldest.map(|(key, at)| (key.clone(), *at)) else { return };
             self.removed.remove(&key);
--- a/crates/hatchpitch/src/config/transfer.rs
+++ b/crates/hatchpitch/src/config/transfer.rs
@@ -1,9 +1,9 @@
-//! A configuration that arrives in parts, as a state machine without I/O.
+//! Reassembles a configuration that is received in parts, as a state machine without I/O.
 //!
-//! Parts come in order of entities. They may come from several parents, and the
-//! configuration may change meanwhile: then what changed since the oldest part
-//! was made is asked for in a further pass, so that a transfer that takes longer
-//! than the time between two changes still ends.
+//! Parts are ordered by entity key. They may come from several parents, and the
+//! configuration may change during the transfer. In that case a further pass
+//! requests what changed since the oldest part of the pass was made, so that a
+//! transfer that takes longer than the time between two changes still ends.
 
 use std::collections::BTreeMap;
 
@@ -11,67 +11,68 @@
 use super::messages::{Delta, FeedAnswer, FeedRequest, Rest};
 use crate::ids::ConfigNumber;
 
-/// What became of a part.
+/// The result of processing one answer of a transfer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
-    /// It is not what is asked for now, as another answer came before it; nothing changed.
+pub enum PartOutcome {
+    /// The answer does not match the next request, because another answer was processed
+    /// first; nothing changed.
     Duplicate,
     /// The parent is behind or withheld its part; nothing changed.
-    Nothing,
-    /// The parent can't go on from what arrived: all of it has to be asked for anew.
-    Unfit,
-    /// It was taken, and more is to be asked for.
-    More,
-    /// It was the last one; this is what changed.
-    Whole {
-        /// Whether the changes start from nothing.
+    Unavailable,
+    /// The parent can't continue this transfer; it has to be restarted.
+    Restart,
+    /// The part was merged, and more parts are to be requested.
+    Incomplete,
+    /// The part was the last one of the transfer.
+    Complete {
+        /// Whether the changes start from an empty configuration.
         snapshot: bool,
         /// The changes.
         delta: Delta,
     },
 }
 
-/// What has arrived so far of a newer configuration.
+/// The state of a transfer of a newer configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Arriving {
-    /// Changes since this number are asked for.
+pub struct Transfer {
+    /// The number from which the current pass requests changes.
     since: ConfigNumber,
-    /// Those of entities after this one; `None` at the beginning of a pass.
+    /// The key of the last received entity of this pass; `None` before the first part.
     after: Option<EntityKey>,
-    /// Lowest number that a part of this pass was made at; `None` before the first one.
+    /// Lowest number at which a part of this pass was made; `None` before the first part.
     lowest: Option<ConfigNumber>,
-    /// Whether the parts of this pass start from nothing.
+    /// Whether the parts of this pass start from an empty configuration.
     pass_is_snapshot: bool,
-    /// Whether all that arrived starts from nothing.
+    /// Whether the merged changes of all passes start from an empty configuration.
     snapshot: bool,
-    /// What arrived; `None` for an entity that is gone.
+    /// Merged changes; `None` for a removed entity.
     changes: BTreeMap<EntityKey, Option<Entity>>,
 }
 
-impl Arriving {
-    /// Begins with what a box that has `have` lacks.
+impl Transfer {
+    /// Begins a transfer to a box whose number is `have`.
     pub fn new(have: ConfigNumber) -> Self {
         Self { since: have, ..Self::default() }
     }
 
-    /// Returns what to ask for next: changes since a number, of the entities after one.
+    /// Returns the number and the entity key that the next request has to name.
     pub fn next(&self) -> (ConfigNumber, Option<&EntityKey>) {
         (self.since, self.after.as_ref())
     }
 
-    /// Takes in the answer to a request.
-    pub fn take(&mut self, req: &FeedRequest, answer: FeedAnswer) -> Taken {
+    /// Processes the answer to a request.
+    pub fn process(&mut self, req: &FeedRequest, answer: FeedAnswer) -> PartOutcome {
         if (req.have, req.after.as_ref()) != self.next() {
-            return Taken::Duplicate;
+            return PartOutcome::Duplicate;
         }
         if answer.number < self.since || answer.rest == Rest::Withheld {
-            return Taken::Nothing;
+            return PartOutcome::Unavailable;
         }
-        let begins = self.after.is_none();
-        if !begins && answer.snapshot != self.pass_is_snapshot {
-            return Taken::Unfit;
+        let is_first = self.after.is_none();
+        if !is_first && answer.snapshot != self.pass_is_snapshot {
+            return PartOutcome::Restart;
         }
-        if begins {
+        if is_first {
             self.pass_is_snapshot = answer.snapshot;
             if answer.snapshot {
                 self.snapshot = true;
@@ -84,14 +85,14 @@
         match answer.rest {
             Rest::After(key) => {
                 self.after = Some(key);
-                Taken::More
+                PartOutcome::Incomplete
             }
-            // What changed since the oldest part may be missing.
+            // Changes made since the oldest part may be missing from it, so start another pass.
             _ if lowest < answer.number => {
                 (self.since, self.after, self.lowest) = (lowest, None, None);
-                Taken::More
+                PartOutcome::Incomplete
             }
-            _ => self.whole(),
+            _ => self.complete(),
         }
     }
 
@@ -100,7 +101,7 @@
         self.changes.extend(delta.upserts.into_iter().map(|e| (e.key(), Some(e))));
     }
 
-    fn whole(&mut self) -> Taken {
+    fn complete(&mut self) -> PartOutcome {
         let mut delta = Delta::default();
         for (key, entity) in std::mem::take(&mut self.changes) {
             match entity {
@@ -108,6 +109,6 @@
                 None => delta.removals.push(key),
             }
         }
-        Taken::Whole { snapshot: self.snapshot, delta }
+        PartOutcome::Complete { snapshot: self.snapshot, delta }
     }
 }
--- a/crates/hatchpitch/src/config/verify.rs
+++ b/crates/hatchpitch/src/config/verify.rs
@@ -3,11 +3,11 @@
 use super::entity::xor;
 use super::state::ConfigState;
 
-/// Checks a state on its own.
+/// Checks the invariants that hold within a single state.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the violated invariant.
 pub fn verify(state: &ConfigState) -> Result<(), String> {
     let digest = state.entities().fold([0; 32], |sum, entity| xor(sum, entity.digest()));
     if digest != state.digest {
@@ -30,11 +30,11 @@
     Ok(())
 }
 
-/// Checks that `after` can follow `before` at one box.
+/// Checks that `after` is a valid successor of `before` at one box.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the violated invariant.
 pub fn verify_step(before: &ConfigState, after: &ConfigState) -> Result<(), String> {
     verify(after)?;
     if after.number < before.number {
@@ -43,8 +43,8 @@
     if after.number == before.number && after.digest != before.digest {
         return Err(format!("content of number {} changed", after.number));
     }
-    for (number, held) in &before.accepted {
-        if after.accepted.get(number).is_some_and(|now| now != held) {
+    for (number, accepted) in &before.accepted {
+        if after.accepted.get(number).is_some_and(|now| now != accepted) {
             return Err(format!("content accepted under number {number} changed"));
         }
     }
--- a/crates/hatchpitch/src/config/view.rs
+++ b/crates/hatchpitch/src/config/view.rs
@@ -1,4 +1,4 @@
-//! The configuration as dense tables, made once a number and read on every request.
+//! Lookup tables of a configuration, built once per number and read on every request.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -26,36 +26,37 @@
     pub pool: Pool,
     /// Its runners, in order of name.
     pub runners: Vec<Runner>,
-    /// What is known of runners that announce themselves; `None` for those of a fleet file.
+    /// Properties of a pool whose runners register themselves; `None` for a pool that the fleet
+    /// file defines.
     pub hosted: Option<HostedPool>,
 }
 
-/// A pool whose runners announce themselves.
+/// Properties of a pool whose runners register themselves.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostedPool {
-    /// Who decides for its runners.
+    /// Which box schedules work on its runners.
     pub placement: Placement,
-    /// Size of a runner's memory in tokens; `None` for plain services.
+    /// Size of a runner's KV memory, in tokens; `None` for services without engines.
     pub memory: Option<u64>,
-    /// Tokens of copied memory that a runner's link takes in a second.
+    /// KV transfer rate of one runner, in tokens per second.
     pub copy_rate: f64,
-    /// What a runner bears while it is cold; `None` if as much as ever.
+    /// Reduced capacity of a runner after a start; `None` if it is not reduced.
     pub cold: Option<ColdStart>,
 }
 
-/// A service and its runners.
+/// A service and its upstreams.
 #[derive(Debug, Clone)]
 pub struct ServiceView {
     /// The service.
     pub service: Service,
-    /// Its runners, in order of name.
+    /// Its upstreams, in order of name.
     pub upstreams: Vec<ServiceUpstream>,
 }
 
 /// An immutable view of one configuration.
 #[derive(Debug, Clone, Default)]
 pub struct FleetView {
-    /// The number it was made from.
+    /// The number of the configuration.
     pub number: ConfigNumber,
     /// All pools.
     pub pools: Vec<PoolView>,
@@ -65,11 +66,11 @@
     pub workspaces: Vec<Workspace>,
     /// Region of each failure domain.
     pub regions: HashMap<FailureDomainName, String>,
-    /// Services whose upstreams announce themselves.
+    /// Services whose upstreams register themselves, by name.
     pub hosted_services: BTreeMap<String, Rc<HostedService>>,
-    /// Bounds on callers of hosted routes.
+    /// Limits for callers of hosted routes.
     pub hosted_limits: Option<HostedLimits>,
-    /// Routes of each host, the longest prefix first.
+    /// Hosted routes by host, longest prefix first.
     hosted_routes: HashMap<String, Vec<Rc<HostedRoute>>>,
     pool_of_model: HashMap<String, PoolIx>,
     service_by_name: HashMap<String, usize>,
@@ -78,10 +79,10 @@
 }
 
 impl FleetView {
-    /// Makes the view of a configuration.
+    /// Builds the view of a configuration.
     pub fn new(state: &ConfigState) -> Self {
         let mut view = Self { number: state.number(), ..Self::default() };
-        // Entities come in order of kind, so pools stand before their runners.
+        // Entities are ordered by kind, so pools and services precede their upstreams.
         for entity in state.entities() {
             view.add(entity);
         }
@@ -120,8 +121,8 @@
                 self.workspaces.push(e.clone());
             }
             Entity::Operator(e) => {
-                let owned = e.keys.iter().map(|key| (key.sha256, e.name.clone()));
-                self.operator_by_key.extend(owned);
+                let entries = e.keys.iter().map(|key| (key.sha256, e.name.clone()));
+                self.operator_by_key.extend(entries);
             }
             Entity::HostedRoute(e) => {
                 let routes = self.hosted_routes.entry(e.host.clone()).or_default();
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Finds the pool that holds a model.
+    /// Finds the pool that serves a model.
     pub fn pool_of_model(&self, model: &str) -> Option<PoolIx> {
         self.pool_of_model.get(model).copied()
     }
@@ -144,7 +145,7 @@
         self.service_by_name.get(name).map(|ix| &self.services[*ix])
     }
 
-    /// Adds the pools of hosted services with the upstreams that serve.
+    /// Returns a copy with a pool for each hosted service, made of the upstreams in `serving`.
     pub fn with_upstreams<'a>(&self, serving: impl Iterator<Item = &'a UpstreamRecord>) -> Self {
         let mut view = self.clone();
         let mut runners: HashMap<&str, Vec<Runner>> = HashMap::new();
@@ -158,7 +159,7 @@
         view
     }
 
-    /// Leaves out the runners of evacuated failure domains.
+    /// Removes the runners and upstreams of evacuated failure domains.
     pub fn without_evacuated(mut self, evacuations: &Evacuations) -> Self {
         for pool in &mut self.pools {
             pool.runners.retain(|runner| !evacuations.is_evacuated(&runner.failure_domain));
@@ -169,7 +170,7 @@
         self
     }
 
-    /// Finds the route of a host with the longest prefix that begins `path`.
+    /// Finds the route of a host with the longest prefix of `path`.
     pub fn hosted_route(&self, host: &str, path: &str) -> Option<Rc<HostedRoute>> {
         let routes = self.hosted_routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix)).cloned()
@@ -177,7 +178,7 @@
 
     /// Finds the workspace that a presented key belongs to.
     ///
-    /// The look-up is by the key's SHA-256, so its timing tells nothing of other keys.
+    /// The lookup uses the key's SHA-256 digest, so its timing reveals nothing about other keys.
     pub fn workspace_of_key(&self, key: &str) -> Option<WorkspaceIx> {
         self.workspace_by_key.get(&key_digest(key)).copied()
     }
@@ -191,15 +192,17 @@
 impl ServiceView {
     /// Finds the route with the longest prefix of `path`.
     pub fn route(&self, path: &str) -> Option<&Route> {
-        let matching = self.service.routes.iter().filter(|route| matches(&route.path, path));
+        let matching =
+            self.service.routes.iter().filter(|route| has_path_prefix(path, &route.path));
         matching.max_by_key(|route| route.path.len())
     }
 }
 
-/// Silence after which a link to a runner that announces itself would be remade; such links
-/// are bounded by each request's own limits instead.
-const HOSTED_SILENCE: Duration = Duration::from_secs(60);
-/// Requests that may wait for a hosted service at one box: more than its largest burst brings.
+/// Silence limit of the pool of a hosted service; connections to its upstreams are bounded by
+/// the limits of each request instead.
+const HOSTED_SILENCE_LIMIT: Duration = Duration::from_secs(60);
+/// Maximum number of requests that wait for a hosted service at one box: more than its largest
+/// burst.
 const HOSTED_MAX_WAITING: u64 = 512;
 
 fn hosted_runner(record: &UpstreamRecord) -> Runner {
@@ -219,7 +222,7 @@
         model: String::new(),
         version: String::new(),
         max_tokens: u64::MAX,
-        silence_limit: HOSTED_SILENCE,
+        silence_limit: HOSTED_SILENCE_LIMIT,
         max_waiting: HOSTED_MAX_WAITING,
     };
     let engine = service.engine.as_ref();
@@ -232,12 +235,13 @@
     PoolView { pool, runners, hosted: Some(hosted) }
 }
 
-fn matches(prefix: &str, path: &str) -> bool {
+/// Returns whether `prefix` is a prefix of `path` that ends at a segment boundary.
+fn has_path_prefix(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else { return false };
     rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/')
 }
 
-/// Digest under which a presented key is looked up.
+/// Returns the digest that a presented key is looked up by.
 pub fn key_digest(key: &str) -> Digest {
     Sha256::digest(key.as_bytes()).into()
 }
--- a/crates/hatchpitch/tests/feed_parts/main.rs
+++ b/crates/hatchpitch/tests/feed_parts/main.rs
@@ -1,32 +1,35 @@
-//! A configuration that arrives in parts, from parents that change and fall behind meanwhile.
+//! Transfer of a configuration in parts, from parents that change or fall behind meanwhile.
 
 mod packed;
 
 use arbitrary::Unstructured;
 use futures_util::FutureExt;
-use hatchpitch::config::arriving::{Arriving, Taken};
 use hatchpitch::config::feed::ConfigCell;
+use hatchpitch::config::transfer::{PartOutcome, Transfer};
 use hatchpitch::config::{
     ConfigState, Entity, FailureDomain, FeedAnswer, FeedRequest, Fleet, Rest, verify,
 };
 use hatchpitch::ids::ConfigNumber;
 use hatchpitch_net::{BoxClient, KeyRing, SigningKey};
 
-/// Boxes that ask at one time.
-const ASKERS: usize = 120;
-/// Bytes that may wait for them, however many they are: one mebibyte and a last part.
-const MAX_WAITING: usize = 1024 * 1024 + 80 * 1024;
-/// Entities of a large configuration, and the length of each one's text: 2 MB in all.
+/// Number of boxes that request concurrently.
+const CHILDREN: usize = 120;
+/// Maximum size of the send backlog, in bytes, for any number of boxes: one mebibyte and a last
+/// part.
+const MAX_BACKLOG: usize = 1024 * 1024 + 80 * 1024;
+/// Number of entities of a large configuration, 2 MB in total.
 const ENTITIES: usize = 2_000;
-const TEXT: usize = 1_000;
-/// Steps after which a transfer whose parent no longer changes must be over.
+/// Length of each entity's region name, in bytes.
+const REGION_LEN: usize = 1_000;
+/// Maximum number of requests of a transfer from a parent that no longer changes.
 const MAX_STEPS: usize = 2_000;
 
 fn domain(n: usize, region: String) -> Entity {
     Entity::FailureDomain(FailureDomain { name: format!("domain-{n:04}"), region })
 }
 
-fn put(state: &mut ConfigState, number: ConfigNumber, entities: Vec<Entity>) {
+/// Prepares and applies a configuration.
+fn apply(state: &mut ConfigState, number: ConfigNumber, entities: Vec<Entity>) {
     let change = state.prepare(&Fleet::new(number, entities), "operator").unwrap();
     state.apply(change).unwrap();
 }
@@ -66,8 +69,8 @@
     }
 }
 
-/// Puts a random fleet in force.
-fn change(u: &mut Unstructured<'_>, state: &mut ConfigState) -> arbitrary::Result<()> {
+/// Applies a random fleet.
+fn apply_random(u: &mut Unstructured<'_>, state: &mut ConfigState) -> arbitrary::Result<()> {
     let number = state.number() + u.int_in_range(1..=3)?;
     let count = u.int_in_range(0..=30)?;
     let mut entities = Vec::new();
@@ -75,63 +78,63 @@
         let region = "r".repeat(u.int_in_range(1..=60)?);
         entities.push(domain(u.int_in_range(0..=40)?, region));
     }
-    put(state, number, entities);
+    apply(state, number, entities);
     Ok(())
 }
 
-/// Brings a parent that is behind up to the leader.
+/// Brings a parent that is behind up to date with the leader.
 fn catch_up(parent: &mut ConfigState, leader: &ConfigState) {
     let (snapshot, delta) = leader.delta_since(parent.number());
     parent.install(leader.number(), leader.digest(), snapshot, &delta).unwrap();
 }
 
-/// A box that takes parts.
+/// A box that receives a configuration in parts.
 #[derive(Default)]
 struct Child {
     state: ConfigState,
-    arriving: Option<Arriving>,
+    transfer: Option<Transfer>,
 }
 
 impl Child {
     fn ask(&mut self, parent: &ConfigState, max_bytes: usize) {
         let have = self.state.number();
-        let arriving = self.arriving.get_or_insert_with(|| Arriving::new(have));
-        let (since, after) = arriving.next();
+        let transfer = self.transfer.get_or_insert_with(|| Transfer::new(have));
+        let (since, after) = transfer.next();
         let req = request(since, after);
         let answer = answer(parent, &req, max_bytes);
         if answer.number <= have {
             return;
         }
         let (number, digest) = (answer.number, answer.digest);
-        match arriving.take(&req, answer) {
-            Taken::Whole { snapshot, delta } => {
-                self.arriving = None;
-                // What mixes parts of two contents is found by its digest, and asked for anew.
+        match transfer.process(&req, answer) {
+            PartOutcome::Complete { snapshot, delta } => {
+                self.transfer = None;
+                // A mix of parts of two contents fails the digest check, and the transfer restarts.
                 let before = self.state.clone();
                 if self.state.install(number, digest, snapshot, &delta).is_ok() {
                     verify::verify_step(&before, &self.state).unwrap();
                 } else {
-                    assert_eq!(before, self.state, "nothing changes on an error");
+                    assert_eq!(before, self.state, "a failed install changed the state");
                 }
             }
-            Taken::Unfit => self.arriving = None,
-            Taken::Duplicate => panic!("only one request is under way"),
-            Taken::Nothing | Taken::More => {}
+            PartOutcome::Restart => self.transfer = None,
+            PartOutcome::Duplicate => panic!("only one request is sent at a time"),
+            PartOutcome::Unavailable | PartOutcome::Incomplete => {}
         }
     }
 }
 
 #[test]
-fn a_transfer_ends_with_what_the_leader_has() {
+fn a_transfer_ends_with_the_configuration_of_the_leader() {
     arbtest::arbtest(|u| {
-        let (mut leader, mut behind, mut child) =
+        let (mut leader, mut follower, mut child) =
             (ConfigState::default(), ConfigState::default(), Child::default());
-        change(u, &mut leader)?;
+        apply_random(u, &mut leader)?;
         for _ in 0..u.int_in_range(0..=60)? {
             match u.int_in_range(0..=9)? {
-                0 => change(u, &mut leader)?,
-                1 => catch_up(&mut behind, &leader),
-                2..=4 => child.ask(&behind, u.int_in_range(1..=200)?),
+                0 => apply_random(u, &mut leader)?,
+                1 => catch_up(&mut follower, &leader),
+                2..=4 => child.ask(&follower, u.int_in_range(1..=200)?),
                 _ => child.ask(&leader, u.int_in_range(1..=200)?),
             }
         }
@@ -148,22 +151,22 @@
 }
 
 #[test]
-fn a_transfer_ends_although_each_part_finds_another_number() {
+fn a_transfer_ends_although_the_number_changes_with_each_part() {
     let entities = |marked: usize| (0..200).map(move |n| domain(n, format!("{}", n == marked)));
     let (mut leader, mut child) = (ConfigState::default(), Child::default());
-    put(&mut leader, 1, entities(0).collect());
+    apply(&mut leader, 1, entities(0).collect());
     for number in 2..40 {
         child.ask(&leader, 1_000);
-        put(&mut leader, number, entities(number as usize).collect());
+        apply(&mut leader, number, entities(number as usize).collect());
     }
-    assert!(child.state.number() > 0, "changes faster than a transfer hold it up for ever");
+    assert!(child.state.number() > 0, "frequent changes keep the transfer from ending");
 }
 
 #[test]
-fn parts_are_bounded_and_hold_everything_once() {
+fn parts_are_bounded_and_contain_each_change_once() {
     let mut state = ConfigState::default();
-    put(&mut state, 1, (0..50).map(|n| domain(n, "a".repeat(20))).collect());
-    put(&mut state, 2, (20..70).map(|n| domain(n, "b".repeat(20))).collect());
+    apply(&mut state, 1, (0..50).map(|n| domain(n, "a".repeat(20))).collect());
+    apply(&mut state, 2, (20..70).map(|n| domain(n, "b".repeat(20))).collect());
     let (_, whole) = state.delta_since(1);
     let (mut upserts, mut removals, mut after) = (Vec::new(), Vec::new(), None);
     loop {
@@ -181,18 +184,20 @@
 }
 
 #[test]
-fn what_waits_for_boxes_that_ask_is_bounded() {
+fn the_backlog_of_concurrent_requests_is_bounded() {
     let client = client();
     let mut state = ConfigState::default();
-    put(&mut state, 1, (0..ENTITIES).map(|n| domain(n, "x".repeat(TEXT))).collect());
+    apply(&mut state, 1, (0..ENTITIES).map(|n| domain(n, "x".repeat(REGION_LEN))).collect());
     let cell = ConfigCell::new(client.backlog().clone());
     cell.replace(&state);
     let req = request(0, None);
-    // None of them is sent while the others are made.
-    let held: Vec<_> = (0..ASKERS)
-        .map(|_| client.respond(&cell.answer(&req).now_or_never().expect("nothing to wait for")))
+    // No answer is sent until all of them are created.
+    let held: Vec<_> = (0..CHILDREN)
+        .map(|_| {
+            client.respond(&cell.answer(&req).now_or_never().expect("the answer is not delayed"))
+        })
         .collect();
-    assert_eq!(held.len(), ASKERS);
+    assert_eq!(held.len(), CHILDREN);
     let waiting = client.backlog().waiting();
-    assert!(waiting.bytes <= MAX_WAITING, "{waiting:?}");
+    assert!(waiting.bytes <= MAX_BACKLOG, "{waiting:?}");
 }
