--- a/crates/hatchpitch/src/config/feed.rs
+++ b/crates/hatchpitch/src/config/feed.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns whether a configuration is being received in parts.
-    pub fn is_arriving(&self) -> bool {
+    pub fn is_transferring(&self) -> bool {
         self.transferring.get()
     }
 
--- a/crates/hatchpitch/src/entry/daemon.rs
+++ b/crates/hatchpitch/src/entry/daemon.rs
@@ -153,7 +153,7 @@
 /// Fetches a configuration from a control box that was seen to have it, unless the feed brings
 /// it first: it is brought once, whichever control boxes tell of it.
 fn fetch_config(cx: &Rc<EntryCx>, source: SocketAddr, number: ConfigNumber) {
-    if cx.config_seen.get() >= number || cx.config.is_arriving() {
+    if cx.config_seen.get() >= number || cx.config.is_transferring() {
         return;
     }
     cx.config_seen.set(number);
