--- a/crates/hatchpitch/tests/feed.rs
+++ b/crates/hatchpitch/tests/feed.rs
@@ -1,4 +1,4 @@
-//! The feed tells a box that waits for it when the newest configuration is confirmed.
+//! Delivery of confirmations by the configuration feed.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     stop_pair,
 };
 
-/// Far longer than the test takes: an answer that comes does not come because of it.
+/// Hold time of the requests, far longer than the test takes, so that no answer is due to its end.
 const HOLD: Duration = Duration::from_secs(5);
 
 fn request(unconfirmed: bool) -> FeedRequest {
@@ -31,72 +31,72 @@
 }
 
 #[test]
-fn a_box_without_a_confirmation_hears_of_one_at_once() {
+fn a_confirmation_is_sent_immediately_to_a_box_without_one() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let cell = ConfigCell::default();
         let req = request(true);
-        let mut waits = Box::pin(cell.answer(&req));
-        assert!(poll!(&mut waits).is_pending(), "nothing is known yet");
+        let mut held = Box::pin(cell.answer(&req));
+        assert!(poll!(&mut held).is_pending(), "there is no confirmation yet");
         cell.confirm(Instant::now());
-        let answer = waits.await;
+        let answer = held.await;
         assert!(answer.confirmed_age.is_some());
         assert!(answer.held < HOLD, "held for {:?}", answer.held);
-        // Asked after the confirmation, the answer does not wait either.
-        let mut asks = Box::pin(cell.answer(&req));
-        assert!(poll!(&mut asks).is_ready());
+        // A request that is sent after the confirmation is not delayed either.
+        let mut second = Box::pin(cell.answer(&req));
+        assert!(poll!(&mut second).is_ready());
     });
 }
 
 #[test]
-fn further_confirmations_wake_nobody() {
+fn a_repeated_confirmation_does_not_complete_a_held_request() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let cell = ConfigCell::default();
         cell.confirm(Instant::now());
         let req = request(false);
-        let mut waits = Box::pin(cell.answer(&req));
-        assert!(poll!(&mut waits).is_pending());
+        let mut held = Box::pin(cell.answer(&req));
+        assert!(poll!(&mut held).is_pending());
         cell.confirm(Instant::now());
-        assert!(poll!(&mut waits).is_pending(), "only a change is news to this box");
+        assert!(poll!(&mut held).is_pending(), "only a change completes this request");
     });
 }
 
-/// Counts the requests that it has in hand.
-struct InHand(Rc<Cell<usize>>);
+/// Counts a pending request for as long as it exists.
+struct PendingGuard(Rc<Cell<usize>>);
 
-impl InHand {
+impl PendingGuard {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for InHand {
+impl Drop for PendingGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Silent parents that have a request in hand when the one with a confirmation answers.
-const SILENT: usize = 2;
-/// Time in which the box must have its confirmation.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Number of parents that never answer.
+const SILENT_PARENTS: usize = 2;
+/// Time limit for receiving the confirmation.
+const TIME_LIMIT: Duration = Duration::from_secs(20);
 
-/// Starts a parent. One without a confirmation never answers; one that has it answers once all
-/// the others have been asked and are still waited for.
-async fn parent(confirmed: bool, in_hand: &Rc<Cell<usize>>, stop: Stop) -> SocketAddr {
+/// Starts a parent. A parent without a confirmation does not answer within the test. A parent with
+/// a confirmation answers once the requests to all silent parents are pending.
+async fn parent(confirmed: bool, pending: &Rc<Cell<usize>>, stop: Stop) -> SocketAddr {
     let listener = bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let (in_hand, cell) = (in_hand.clone(), Rc::new(ConfigCell::default()));
+    let (pending, cell) = (pending.clone(), Rc::new(ConfigCell::default()));
     let handler: Handler = Rc::new(move |_req, _peer| {
-        let (in_hand, cell) = (in_hand.clone(), cell.clone());
+        let (pending, cell) = (pending.clone(), cell.clone());
         async move {
             if !confirmed {
-                let _held = InHand::new(&in_hand);
-                compio::time::sleep(PATIENCE * 2).await;
+                let _guard = PendingGuard::new(&pending);
+                compio::time::sleep(TIME_LIMIT * 2).await;
             }
-            while in_hand.get() < SILENT {
+            while pending.get() < SILENT_PARENTS {
                 compio::time::sleep(Duration::from_millis(1)).await;
             }
             cell.confirm(Instant::now());
@@ -109,33 +109,33 @@
 }
 
 #[test]
-fn a_box_without_a_confirmation_does_not_wait_for_a_parent_that_is_silent() {
+fn silent_parents_do_not_delay_a_box_without_a_confirmation() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let (_stop_handle, stop) = stop_pair();
-        let in_hand = Rc::new(Cell::new(0));
+        let pending = Rc::new(Cell::new(0));
         let mut parents = Vec::new();
         for confirmed in [false, false, true] {
-            parents.push(parent(confirmed, &in_hand, stop.clone()).await);
+            parents.push(parent(confirmed, &pending, stop.clone()).await);
         }
         let keys = KeyRing::new(vec![SigningKey::new("k".into(), vec![3; 32]).unwrap()]);
         let client = BoxClient::new(keys.unwrap()).unwrap();
         let cell = Rc::new(ConfigCell::default());
-        let (followed, asked) = (cell.clone(), parents.clone());
+        let (followed, candidates) = (cell.clone(), parents.clone());
         let following = async move {
-            feed::follow("box".to_owned(), &followed, &client, || asked.clone(), stop).await;
+            feed::follow("box".to_owned(), &followed, &client, || candidates.clone(), stop).await;
         };
         compio::runtime::spawn(following).detach();
         let started = Instant::now();
         while cell.confirmed_age().is_none() {
-            assert!(started.elapsed() < PATIENCE, "the third parent was not asked with the others");
+            assert!(started.elapsed() < TIME_LIMIT, "the third parent was not asked concurrently");
             compio::time::sleep(Duration::from_millis(1)).await;
         }
     });
 }
 
 #[test]
-fn rests_grow_and_stay_bounded() {
+fn backoff_delays_grow_to_a_maximum() {
     let delays: Vec<u128> = (1..=6).map(|n| backoff::delay(n).as_millis()).collect();
     assert_eq!(delays, [25, 50, 100, 200, 200, 200]);
     assert_eq!(backoff::delay(u32::MAX), backoff::delay(6));
--- a/crates/hatchpitch/tests/feed_size.rs
+++ b/crates/hatchpitch/tests/feed_size.rs
@@ -1,4 +1,4 @@
-//! What it takes to bring a change of many routes to every box of a large fleet.
+//! Size of the answers that distribute a large configuration change to every box of a large fleet.
 
 use std::fmt::Write as _;
 use std::rc::Rc;
@@ -16,20 +16,21 @@
 };
 use sha2::{Digest as _, Sha256};
 
-/// Routes that are added at one time.
+/// Number of routes that the change adds.
 const ROUTES: usize = 1_400;
-/// Boxes that are to have a change within `IN_FORCE_S`.
+/// Number of boxes that have to receive the change within `TIME_LIMIT_S`.
 const BOXES: usize = 300;
-/// Control boxes that send it to them, and what the link of each passes in a second, in bytes.
+/// Number of control boxes that send the change.
 const SOURCES: usize = 5;
-const LINK: f64 = 12.5e6;
-/// Time in which a change has to be in force, in seconds. Half of it is left for the log, for
-/// questions and for boxes that ask late, and half of the links for all else.
-const IN_FORCE_S: f64 = 3.0;
-/// Bytes that may be sent for one box.
-const MAX_BYTES: f64 = SOURCES as f64 * LINK * IN_FORCE_S / 4.0 / BOXES as f64;
+/// Link bandwidth of a control box, in bytes per second.
+const LINK_BANDWIDTH: f64 = 12.5e6;
+/// Time limit for putting a change in force, in seconds. Half of it is reserved for the replicated
+/// log, for requests and for boxes that ask late, and half of the bandwidth for other traffic.
+const TIME_LIMIT_S: f64 = 3.0;
+/// Maximum number of bytes sent to one box.
+const MAX_BYTES: f64 = SOURCES as f64 * LINK_BANDWIDTH * TIME_LIMIT_S / 4.0 / BOXES as f64;
 
-/// Letters and digits that nothing else tells.
+/// Returns an incompressible name of hexadecimal digits.
 fn random_name(n: usize, len: usize) -> String {
     let digest = Sha256::digest(n.to_le_bytes());
     let mut name = String::new();
@@ -62,7 +63,8 @@
     })
 }
 
-fn put(state: &mut ConfigState, number: u64, routes: usize) {
+/// Applies a configuration with `routes` routes.
+fn apply(state: &mut ConfigState, number: u64, routes: usize) {
     let fleet = Fleet::new(number, (0..routes).map(route));
     let change = state.prepare(&fleet, "operator").unwrap();
     state.apply(change).unwrap();
@@ -73,7 +75,7 @@
     BoxClient::new(KeyRing::new(vec![key]).unwrap()).unwrap()
 }
 
-/// Answers boxes that ask for a configuration.
+/// Returns the handler of a parent that serves the feed from `cell`.
 fn parent(cell: Rc<ConfigCell>, client: BoxClient) -> Handler {
     Rc::new(move |req, _peer| {
         let (cell, client) = (cell.clone(), client.clone());
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn many_new_routes_reach_all_boxes_of_a_large_fleet_in_time() {
+fn a_change_of_many_routes_is_small_enough_for_a_large_fleet() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let (_stop_handle, stop) = stop_pair();
@@ -97,19 +99,19 @@
         let (source, cell) =
             (Rc::new(ConfigCell::new(sender.backlog().clone())), Rc::new(ConfigCell::default()));
         let mut state = ConfigState::default();
-        put(&mut state, 1, 10);
+        apply(&mut state, 1, 10);
         source.replace(&state);
         cell.replace(&state);
-        put(&mut state, 2, 10 + ROUTES);
+        apply(&mut state, 2, 10 + ROUTES);
         source.replace(&state);
         let listener = bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
         let addr = listener.local_addr().unwrap();
         let handler = parent(source, sender);
         compio::runtime::spawn(serve(listener, ServerLimits::default(), handler, stop)).detach();
-        let asker = client();
-        feed::fetch(&"box".to_owned(), &cell, &asker, addr, Duration::ZERO).await;
+        let receiver = client();
+        feed::fetch(&"box".to_owned(), &cell, &receiver, addr, Duration::ZERO).await;
         assert_eq!(cell.number(), 2);
-        let bytes = asker.traffic()[FEED_PATH].body_bytes as f64;
-        assert!(bytes <= MAX_BYTES, "{bytes} bytes for one box, {MAX_BYTES} may be sent");
+        let bytes = receiver.traffic()[FEED_PATH].body_bytes as f64;
+        assert!(bytes <= MAX_BYTES, "{bytes} bytes for one box, at most {MAX_BYTES} are allowed");
     });
 }
--- a/crates/hatchpitch/tests/fleet_size.rs
+++ b/crates/hatchpitch/tests/fleet_size.rs
@@ -1,5 +1,5 @@
-//! What it costs control boxes to tell 300 entry boxes of 3,000 upstreams, a sixth of which leaves
-//! and is replaced every 3.3 seconds.
+//! Traffic of a control box that reports 3,000 upstreams to 300 entry boxes, while a sixth of the
+//! upstreams is replaced every 3.3 seconds.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,19 +7,20 @@
 use hatchpitch::registry::follow::question_period;
 use hatchpitch::registry::{Detail, Phase, Roster, Table, UpstreamRecord};
 
+/// Number of upstreams that serve at a time.
 const UPSTREAMS: usize = 3_000;
-/// Entry boxes.
+/// Number of entry boxes.
 const FOLLOWERS: usize = 300;
-/// Control boxes.
+/// Number of control boxes.
 const CONTROL: usize = 6;
-/// Upstreams that leave, end and begin in a second.
+/// Number of upstreams that leave, end and start per second.
 const CHANGES: usize = 155;
-/// Seconds that are looked at.
+/// Duration of the simulation, in seconds.
 const SECONDS: usize = 3;
-/// Bytes that one control box may send for it in a second: an eighth of a link of 100 Mbit/s.
-const BOUND: usize = 1_500_000;
-/// Bytes of an answer and its question beside what is told.
-const HEADS: usize = 600;
+/// Maximum traffic of one control box, in bytes per second: an eighth of a 100 Mbit/s link.
+const MAX_BYTES_PER_SECOND: usize = 1_500_000;
+/// Size of a request, and of the headers of its answer, in bytes.
+const OVERHEAD: usize = 600;
 
 fn record(n: usize, phase: Phase, sequence: u64) -> UpstreamRecord {
     let [high, low] = u16::try_from(n % 60_000).unwrap().to_be_bytes();
@@ -36,24 +37,24 @@
     }
 }
 
-/// One follower of one table.
+/// A follower of one control box's table.
 struct Follower {
     detail: Detail,
-    /// Questions in a second.
+    /// Requests per second.
     rate: usize,
     roster: Roster,
 }
 
-/// Returns the bytes that a control box sends to its share of the followers in a second of the
-/// run, and what each detail cost of it.
-fn bytes_a_second(followers: &[(Detail, usize, usize)]) -> (usize, BTreeMap<String, usize>) {
+/// Simulates a control box and its followers, given as (detail, requests per second, number of
+/// followers). Returns the bytes that it sends per second, in total and by detail.
+fn bytes_per_second(followers: &[(Detail, usize, usize)]) -> (usize, BTreeMap<String, usize>) {
     let start = Instant::now();
     let mut table = Table::new(1, start);
     for n in 0..UPSTREAMS {
         table.announce(record(n, Phase::Serving, 2), start);
     }
     let source = ([10, 0, 0, 1], 1).into();
-    // All of one kind ask alike, so one stands for them.
+    // All followers of one kind send the same requests, so one is simulated for each kind.
     let mut kinds: Vec<(Follower, usize)> = followers
         .iter()
         .map(|(detail, rate, count)| {
@@ -61,15 +62,16 @@
             (follower, *count)
         })
         .collect();
-    let ask = |follower: &mut Follower, table: &Table, now| {
+    let poll = |follower: &mut Follower, table: &Table, now| {
         let (epoch, have) = follower.roster.position(source, follower.detail);
         let answer = table.changes(epoch, have, follower.detail, now);
-        let (more, bytes) = (answer.more, rmp_serde::to_vec_named(&answer).unwrap().len() + HEADS);
+        let (more, bytes) =
+            (answer.more, rmp_serde::to_vec_named(&answer).unwrap().len() + OVERHEAD);
         follower.roster.take(source, follower.detail, answer, now).unwrap();
         (more, bytes)
     };
     for (follower, _) in &mut kinds {
-        while ask(follower, &table, start).0 {}
+        while poll(follower, &table, start).0 {}
     }
     let (mut total, mut by_detail) = (0, BTreeMap::new());
     let steps = 100;
@@ -86,7 +88,7 @@
         for (follower, count) in &mut kinds {
             let period = steps / follower.rate;
             if step % period == period - 1 {
-                let bytes = ask(follower, &table, now).1 * *count;
+                let bytes = poll(follower, &table, now).1 * *count;
                 total += bytes;
                 *by_detail.entry(format!("{:?}", follower.detail)).or_default() += bytes / SECONDS;
             }
@@ -96,29 +98,32 @@
 }
 
 #[test]
-fn a_control_box_tells_300_boxes_of_3000_upstreams_within_its_link() {
+fn registry_traffic_of_300_boxes_and_3000_upstreams_is_bounded() {
     let each = FOLLOWERS / CONTROL;
     let rate = usize::try_from(1_000 / question_period(UPSTREAMS).as_millis()).unwrap();
-    // Everything from one control box, departures from another one once a second.
+    // Each entry box gets all news from one control box, and departures from a second one once a
+    // second.
     let followers = [(Detail::Whole, rate, each), (Detail::Departures, 1, each)];
-    let (bytes, parts) = bytes_a_second(&followers);
-    println!("{bytes} bytes a second: {parts:?}");
-    assert!(bytes <= BOUND, "{bytes}: {parts:?}");
-    // Everything by field names from each of them, as it was, is far above the bound.
-    let (before, _) =
-        bytes_a_second(&[(Detail::Named, 50, each), (Detail::Named, 2, each * (CONTROL - 1))]);
-    println!("{before} bytes a second as it was");
-    assert!(before > 5 * BOUND, "{before}");
+    let (bytes, by_detail) = bytes_per_second(&followers);
+    println!("{bytes} bytes per second: {by_detail:?}");
+    assert!(bytes <= MAX_BYTES_PER_SECOND, "{bytes}: {by_detail:?}");
+    // The former protocol, in which every control box sent all news encoded with field names,
+    // exceeds the limit by far.
+    let (named, _) =
+        bytes_per_second(&[(Detail::Named, 50, each), (Detail::Named, 2, each * (CONTROL - 1))]);
+    println!("{named} bytes per second with field names");
+    assert!(named > 5 * MAX_BYTES_PER_SECOND, "{named}");
 }
 
 #[test]
-fn a_table_of_3000_upstreams_takes_little_memory() {
+fn a_table_of_3000_upstreams_is_sent_in_parts() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     for n in 0..UPSTREAMS {
         table.announce(record(n, Phase::Serving, 2), now);
     }
-    // A follower that begins is told in parts, so nobody holds a whole table for it.
+    // The initial transfer to a follower is split, so that a complete table is never buffered for
+    // it.
     let first = table.changes(1, 0, Detail::Whole, now);
     let bytes = rmp_serde::to_vec_named(&first).unwrap().len();
     assert!(first.more && bytes < 64 * 1_024, "{bytes}");
--- a/crates/hatchpitch/tests/parsers.rs
+++ b/crates/hatchpitch/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Files and messages: examples are valid, errors name the place, noise never panics.
+//! Parsing of fleet files, settings files and messages.
 
 use std::path::PathBuf;
 use std::sync::LazyLock;
@@ -22,7 +22,7 @@
     load_fleet("fleet.toml", &text).unwrap_or_else(|problems| panic!("{problems}"))
 }
 
-/// A key file that is written once: a test that reads it must not meet another one that writes.
+/// The key file of the tests. It is written once, because tests read it concurrently.
 static KEY_FILE: LazyLock<PathBuf> = LazyLock::new(|| {
     let name = format!("hatchpitch-parsers-test-{}.key", std::process::id());
     let file = std::env::temp_dir().join(name);
@@ -30,7 +30,7 @@
     file
 });
 
-/// Returns settings with the key file replaced by one that exists here.
+/// Returns settings with `box_keys` replaced by a key file that exists.
 fn with_key(text: &str) -> String {
     let key = &*KEY_FILE;
     let line = format!("box_keys = [{{ id = \"k1\", file = {key:?} }}]");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_examples_are_valid_and_as_large_as_the_fleets_they_stand_for() {
+fn the_examples_are_valid_and_have_the_expected_sizes() {
     for (name, runners, upstreams, boxes) in [("texas", 15, 3, 12), ("lanka", 12, 3, 9)] {
         let fleet = example_fleet(name);
         let count = |kind| fleet.entities.keys().filter(|key| key.0 == kind).count();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn every_problem_of_a_file_is_named_with_its_place() {
+fn every_problem_of_a_file_is_reported_with_its_line() {
     let text = "number = 1\n\n[[failure_domain]]\nname = \"Austin A\"\nregion = \"tx\"\n\n\
                 [[runner]]\nname = \"r1\"\npool = \"nothing\"\naddr = \"here\"\n\
                 failure_domain = \"mars\"\nmax_batch = 0\n";
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn unknown_keys_wrong_types_and_broken_files_are_named_with_their_line() {
+fn unknown_keys_wrong_types_and_syntax_errors_are_reported_with_their_line() {
     let cases = [
         ("number = 1\nnumbr = 2\n", "fleet.toml:2: numbr: found unknown field `numbr`"),
         ("number = \"one\"\n", "fleet.toml:1: number: found invalid type"),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn settings_that_contradict_each_other_are_refused() {
+fn invalid_and_contradictory_settings_are_rejected() {
     let path = examples().join("quickstart/domain-a-1.toml");
     let text = with_key(&std::fs::read_to_string(path).unwrap());
     let cases = [
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn listeners_are_bound_where_the_settings_say() {
+fn listeners_are_bound_to_the_configured_address() {
     let path = examples().join("quickstart/domain-a-1.toml");
     let text = with_key(&std::fs::read_to_string(path).unwrap());
     let load = |text: &str| load_toml::<RawEntrySettings, EntrySettings>("entry.toml", text);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn noise_never_panics_a_parser() {
+fn random_input_does_not_panic_parsers() {
     let good = std::fs::read_to_string(examples().join("texas/fleet.toml")).unwrap();
     let keys = KeyRing::new(vec![SigningKey::new("k".into(), vec![3; 32]).unwrap()]).unwrap();
     for seed in 0..64_u64 {
