--- a/crates/hatchpitch/src/admission/gate.rs
+++ b/crates/hatchpitch/src/admission/gate.rs
@@ -13,7 +13,7 @@
 use crate::ids::AttemptId;
 use crate::routing::state::RunnerSpec;
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
-use crate::upstream_heads::SharedSignals;
+use crate::upstream_signals::SharedSignals;
 
 /// Bound on waits for timers; queues expire their requests far earlier.
 const LONGEST_WAIT: Duration = Duration::from_secs(3_600);
--- a/crates/hatchpitch/src/dispatch/line.rs
+++ b/crates/hatchpitch/src/dispatch/line.rs
@@ -19,7 +19,7 @@
 use crate::ids::{AttemptId, FailureDomainName, Priority, RequestKind, RunnerName, WorkspaceName};
 use crate::routing::state::{Asked, Closed, RunnerSpec};
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
-use crate::upstream_heads::SharedSignals;
+use crate::upstream_signals::SharedSignals;
 
 /// Requests of the line that are tried for a slot that is free. Those with a prompt as long as one
 /// that found no room are not tried, so that looking costs a few trials.
--- a/crates/hatchpitch/src/engine/adapter.rs
+++ b/crates/hatchpitch/src/engine/adapter.rs
@@ -13,7 +13,7 @@
 use super::messages::{EngineEvent, EngineLoad, EngineRefusal, GenerateRequest};
 use crate::ids::TokenIndex;
 use crate::trace::TRACEPARENT;
-use crate::upstream_heads::{HeadNames, HeadSignals};
+use crate::upstream_signals::{SignalHeaders, UpstreamSignals};
 
 /// Longest line read from an engine, in bytes.
 const MAX_LINE: usize = 64 * 1024;
@@ -23,11 +23,11 @@
 const CALL_LIMIT: Duration = Duration::from_secs(2);
 
 /// Headers by which engines and services say something of themselves, in any of their answers.
-pub const HEAD_NAMES: HeadNames =
-    HeadNames { limit: "hatchpitch-rate-limit", leaving: "hatchpitch-leaving" };
+pub const SIGNAL_HEADERS: SignalHeaders =
+    SignalHeaders { limit: "hatchpitch-rate-limit", leaving: "hatchpitch-leaving" };
 
 /// Takes in what the head of an answer says of its upstream.
-pub type OnHead<'a> = &'a dyn Fn(HeadSignals);
+pub type OnHead<'a> = &'a dyn Fn(UpstreamSignals);
 
 /// A failed call to an engine.
 #[derive(Debug)]
@@ -258,8 +258,8 @@
 }
 
 /// Returns what the head of an answer says of its upstream.
-pub fn signals(res: &Response<Incoming>) -> HeadSignals {
-    HeadSignals::read(&HEAD_NAMES, res.status(), res.headers())
+pub fn signals(res: &Response<Incoming>) -> UpstreamSignals {
+    UpstreamSignals::read(&SIGNAL_HEADERS, res.status(), res.headers())
 }
 
 async fn whole(
--- a/crates/hatchpitch/src/entry/apps.rs
+++ b/crates/hatchpitch/src/entry/apps.rs
@@ -25,8 +25,8 @@
 use crate::quarantine::ContentId;
 use crate::quarantine::observer::{self, RunPlace};
 use crate::trace::{Span, TRACEPARENT};
-use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Header that names a request which must not be repeated.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -231,7 +231,7 @@
                 continue;
             }
             match upstream_limits::obtain(&self.cx, &upstream.name, self.priority).await {
-                Ok(()) if self.cx.rests.borrow_mut().take(&upstream.name, clock::now()) => {
+                Ok(()) if self.cx.backoffs.borrow_mut().take(&upstream.name, clock::now()) => {
                     return Some(upstream);
                 }
                 Ok(()) => candidates.closed_for(self.opens_in(&upstream)),
@@ -264,7 +264,7 @@
 
     /// Returns the time until an upstream wants work of this box again.
     fn opens_in(&self, upstream: &ServiceUpstream) -> Duration {
-        self.cx.rests.borrow().opens_in(&upstream.name, clock::now())
+        self.cx.backoffs.borrow().opens_in(&upstream.name, clock::now())
     }
 
     /// Returns the upstreams that take new work, beginning at another one each time.
@@ -305,7 +305,7 @@
         let timeout = self.service.service.timeout;
         let sent_at = clock::now();
         let res = self.cx.upstream(addr).send(req, timeout).await.map_err(AppFailure::from)?;
-        upstream_heads::note(&self.cx, &upstream.name, signals(&res), sent_at);
+        upstream_signals::record(&self.cx, &upstream.name, signals(&res), sent_at);
         let status = res.status();
         let plain = || HeaderValue::from_static("application/octet-stream");
         let content_type = res.headers().get(header::CONTENT_TYPE).cloned().unwrap_or_else(plain);
--- a/crates/hatchpitch/src/entry/boxes.rs
+++ b/crates/hatchpitch/src/entry/boxes.rs
@@ -17,10 +17,10 @@
 use crate::moves::ask::{self, TURN_DONE_PATH, TURN_PATH};
 use crate::moves::{TurnDone, TurnRequest};
 use crate::outcome::text_response;
-use crate::upstream_heads::LeaverNews;
-use crate::upstream_heads::task::{self as upstream_heads, LEAVING_PATH};
-use crate::upstream_limits::task::{self as upstream_limits, NEWS_PATH, PERMIT_PATH};
-use crate::upstream_limits::{LimitNews, PermitRequest};
+use crate::upstream_limits::task::{self as upstream_limits, LIMIT_NOTICES_PATH, PERMIT_PATH};
+use crate::upstream_limits::{LimitNotice, PermitRequest};
+use crate::upstream_signals::LeavingNotice;
+use crate::upstream_signals::task::{self as upstream_signals, LEAVING_PATH};
 
 /// Answers one message of another box.
 pub async fn handle(cx: Rc<EntryCx>, req: Request<Incoming>) -> Response<Body> {
@@ -64,10 +64,10 @@
             .map(|req| cx.boxes.respond(&grants::adopt(&cx, req))),
         PERMIT_PATH => open_message::<PermitRequest>(keys, path, &parts.headers, &body)
             .map(|req| cx.boxes.respond(&upstream_limits::answer(&cx, &req))),
-        NEWS_PATH => open_message::<Vec<LimitNews>>(keys, path, &parts.headers, &body)
-            .map(|news| cx.boxes.respond(&upstream_limits::take_news(&cx, &news))),
-        LEAVING_PATH => open_message::<Vec<LeaverNews>>(keys, path, &parts.headers, &body)
-            .map(|news| cx.boxes.respond(&upstream_heads::take_leavers(&cx, &news))),
+        LIMIT_NOTICES_PATH => open_message::<Vec<LimitNotice>>(keys, path, &parts.headers, &body)
+            .map(|news| cx.boxes.respond(&upstream_limits::receive_notices(&cx, &news))),
+        LEAVING_PATH => open_message::<Vec<LeavingNotice>>(keys, path, &parts.headers, &body)
+            .map(|news| cx.boxes.respond(&upstream_signals::receive_leaving_notices(&cx, &news))),
         SYNC_PATH => open_message::<GrantSync>(keys, path, &parts.headers, &body)
             .map(|req| cx.boxes.respond(&grants::sync(&cx, &req))),
         _ => Err(Box::new(text_response(StatusCode::NOT_FOUND, "no such path"))),
--- a/crates/hatchpitch/src/entry/callers.rs
+++ b/crates/hatchpitch/src/entry/callers.rs
@@ -171,7 +171,7 @@
     cx.metrics.process(&cx.boxes);
     cx.metrics.quarantine(&cx.config.quarantine());
     cx.metrics.gauge("hatchpitch_limited_upstreams", cx.limits.borrow().limited() as f64);
-    let resting = cx.rests.borrow().resting(clock::now());
+    let resting = cx.backoffs.borrow().active_count(clock::now());
     cx.metrics.gauge("hatchpitch_resting_upstreams", resting as f64);
     let age = cx.config.confirmed_age().map_or(f64::INFINITY, |age| age.as_secs_f64());
     cx.metrics.gauge("hatchpitch_config_confirmed_age_seconds", age);
--- a/crates/hatchpitch/src/entry/context.rs
+++ b/crates/hatchpitch/src/entry/context.rs
@@ -33,9 +33,9 @@
 use crate::routing::{ColdLimit, RoutingConfig};
 use crate::settings::EntrySettings;
 use crate::trace::Tracer;
-use crate::upstream_heads::{Leavers, NewsQueue, SharedRests, SharedSignals};
 use crate::upstream_limits::SharedLimits;
 use crate::upstream_limits::task as upstream_limits;
+use crate::upstream_signals::{LeavingUpstreams, NoticeQueue, SharedBackoffs, SharedSignals};
 
 /// Whether the process takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,13 +80,13 @@
     /// Limits that upstreams name.
     pub limits: SharedLimits,
     /// Rests that upstreams asked this box for.
-    pub rests: SharedRests,
+    pub backoffs: SharedBackoffs,
     /// Upstreams whose limits are to be told to other boxes.
-    pub limit_news: NewsQueue,
+    pub limit_notices: NoticeQueue,
     /// Upstreams that said in an answer that they leave.
-    pub leavers: RefCell<Leavers>,
+    pub leaving: RefCell<LeavingUpstreams>,
     /// Those of which other boxes are to be told.
-    pub leaver_news: NewsQueue,
+    pub leaving_notices: NoticeQueue,
     /// Budgets for runs elsewhere.
     pub retries: RefCell<RetryBudgets>,
     /// Whether new work is taken.
@@ -139,10 +139,10 @@
             leader,
             quarantine: Observer::default(),
             limits: SharedLimits::default(),
-            rests: SharedRests::default(),
-            limit_news: NewsQueue::default(),
-            leavers: RefCell::default(),
-            leaver_news: NewsQueue::default(),
+            backoffs: SharedBackoffs::default(),
+            limit_notices: NoticeQueue::default(),
+            leaving: RefCell::default(),
+            leaving_notices: NoticeQueue::default(),
             retries: RefCell::default(),
             intake: Cell::new(Intake::Open),
             turns: RefCell::default(),
@@ -191,7 +191,8 @@
             memory: policy.memory,
             ..RoutingConfig::default()
         };
-        let signals = SharedSignals { limits: self.limits.clone(), rests: self.rests.clone() };
+        let signals =
+            SharedSignals { limits: self.limits.clone(), backoffs: self.backoffs.clone() };
         Gate::new(admission, routing, signals)
     }
 
@@ -262,7 +263,7 @@
         if owners_changed || new_view {
             self.remake_gates(&view);
         }
-        upstream_limits::place_all(self);
+        upstream_limits::update_deciders(self);
         view
     }
 
@@ -383,7 +384,7 @@
     pub fn upstream_serves(&self, name: &str) -> bool {
         let roster = self.upstreams.roster.borrow();
         let leaves = roster.get(name).is_some_and(|record| record.phase == Phase::Leaving)
-            || self.leavers.borrow().contains(name, clock::now());
+            || self.leaving.borrow().contains(name, clock::now());
         !leaves && self.membership.borrow().upstream_serves(name)
     }
 
--- a/crates/hatchpitch/src/entry/generation.rs
+++ b/crates/hatchpitch/src/entry/generation.rs
@@ -18,7 +18,7 @@
 use crate::routing::Verdict;
 use crate::streams::{Phase, StreamLimits, StreamState, StreamStep};
 use crate::trace::Span;
-use crate::upstream_heads::{HeadSignals, task as upstream_heads};
+use crate::upstream_signals::{UpstreamSignals, task as upstream_signals};
 
 /// Rest before the second link to an engine; it doubles with each further one.
 const RELINK_REST: Duration = Duration::from_millis(50);
@@ -338,8 +338,8 @@
             let head_timeout = self.job.silence_limit;
             let (id, attempt) = (self.state.generation(), self.state.attempt());
             let trace = span.traceparent();
-            upstream_heads::await_rest(&self.cx, &self.runner, head_timeout).await;
-            let may_send = upstream_heads::obtain_in_advance(&self.cx, &self.runner).await;
+            upstream_signals::wait_for_backoff(&self.cx, &self.runner, head_timeout).await;
+            let may_send = upstream_signals::obtain_in_advance(&self.cx, &self.runner).await;
             let on_head = self.on_head();
             let link = adapter::Link { generation: id, attempt, from, traceparent: &trace };
             let opened = match may_send {
@@ -468,9 +468,9 @@
     }
 
     /// Returns what takes in the head of an answer to a request of now.
-    fn on_head(&self) -> impl Fn(HeadSignals) + use<> {
+    fn on_head(&self) -> impl Fn(UpstreamSignals) + use<> {
         let (cx, runner, sent) = (self.cx.clone(), self.runner.clone(), clock::now());
-        move |signals| upstream_heads::note(&cx, &runner, signals, sent)
+        move |signals| upstream_signals::record(&cx, &runner, signals, sent)
     }
 
     /// Cancels the generation after a while.
@@ -483,7 +483,7 @@
                 log::info!(upstream = runner.as_str(); "a generation runs on, its runner being at rest or at its limit");
                 return;
             }
-            let on_head = |signals| upstream_heads::note_aside(&cx, &runner, signals);
+            let on_head = |signals| upstream_signals::record_background(&cx, &runner, signals);
             if let Err(err) = adapter::cancel(&upstream, &id, &attempt, &on_head).await {
                 log::debug!("cancel of {id}: {err}");
             }
@@ -507,7 +507,7 @@
 /// Waits for the permit to cancel a generation; returns whether it came in time to be of use.
 async fn may_cancel(cx: &Rc<EntryCx>, runner: &str) -> bool {
     for _ in 0..CANCEL_TRIES {
-        if upstream_heads::obtain_in_advance(cx, runner).await.is_ok() {
+        if upstream_signals::obtain_in_advance(cx, runner).await.is_ok() {
             return true;
         }
         compio::time::sleep(CANCEL_REST).await;
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -91,10 +91,10 @@
 
     /// Returns whether the engine still wants work of this box.
     fn is_wanted(&self) -> bool {
-        let (mut rests, now) = (self.cx.rests.borrow_mut(), clock::now());
+        let (mut rests, now) = (self.cx.backoffs.borrow_mut(), clock::now());
         match &self.from {
             // It was taken with the slot.
-            Source::Own(_) => rests.left(&self.runner, now).is_none(),
+            Source::Own(_) => rests.remaining(&self.runner, now).is_none(),
             Source::Owner => rests.take(&self.runner, now),
         }
     }
@@ -185,12 +185,12 @@
 /// Returns the time until the first engine that could take a request wants work of this box, if
 /// none does now.
 fn rests_of_all(cx: &EntryCx, pool: &str, want: &Want) -> Option<Duration> {
-    if cx.rests.borrow().is_empty() {
+    if cx.backoffs.borrow().is_empty() {
         return None;
     }
     let (view, now) = (cx.sync_gates(), clock::now());
     let pool = view.pools.iter().find(|p| p.pool.name == pool)?;
-    let rests = cx.rests.borrow();
+    let rests = cx.backoffs.borrow();
     let could = pool.runners.iter().filter(|runner| {
         want.may_run_at(&runner.name, &runner.failure_domain) && cx.upstream_serves(&runner.name)
     });
@@ -347,8 +347,8 @@
     /// Returns what another box is asked for: engines that asked this one for rest are left out.
     fn want_elsewhere(&self) -> Want {
         let mut want = self.want.clone();
-        let rests = self.cx.rests.borrow();
-        want.avoid.extend(rests.closed(clock::now()).take(MAX_LEFT_OUT).cloned());
+        let rests = self.cx.backoffs.borrow();
+        want.avoid.extend(rests.blocked(clock::now()).take(MAX_LEFT_OUT).cloned());
         want
     }
 
--- a/crates/hatchpitch/src/lib.rs
+++ b/crates/hatchpitch/src/lib.rs
@@ -37,5 +37,5 @@
 pub mod signals;
 pub mod streams;
 pub mod trace;
-pub mod upstream_heads;
 pub mod upstream_limits;
+pub mod upstream_signals;
--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -16,8 +16,8 @@
 use crate::registry::UpstreamRecord;
 use crate::relay::dialect::{CopyAnswer, CopyFailure, CopyOrder};
 use crate::relay::{HostedRequest, Relay};
-use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Time for one copy; a large generation takes a third of it on an idle link.
 const COPY_LIMIT: Duration = Duration::from_millis(1_500);
@@ -187,7 +187,7 @@
     /// Gets the permit for an order to the leaver, which is not held back while one can be taken in
     /// advance: its runs are lost with it.
     async fn may_send(&self) -> Result<(), &'static str> {
-        upstream_heads::obtain_in_advance(&self.relay.cx, &self.leaver.runner).await
+        upstream_signals::obtain_in_advance(&self.relay.cx, &self.leaver.runner).await
     }
 
     async fn copy(&self, to: SocketAddr, stop: bool) -> Result<CopyAnswer, CopyFailure> {
@@ -198,8 +198,8 @@
         match compio::time::timeout(COPY_LIMIT, copied).await {
             Ok(reply) => {
                 let (cx, runner) = (&self.relay.cx, &self.leaver.runner);
-                upstream_limits::note(cx, runner, reply.signals.limit, sent);
-                upstream_heads::note_aside(cx, runner, reply.signals);
+                upstream_limits::record(cx, runner, reply.signals.limit, sent);
+                upstream_signals::record_background(cx, runner, reply.signals);
                 reply.outcome
             }
             Err(_) => Err(CopyFailure::Unclear(format!("no answer within {COPY_LIMIT:?}"))),
--- a/crates/hatchpitch/src/relay/dialect.rs
+++ b/crates/hatchpitch/src/relay/dialect.rs
@@ -11,7 +11,7 @@
 
 use super::request::HostedRequest;
 use crate::ids::RunnerName;
-use crate::upstream_heads::{HeadNames, HeadSignals};
+use crate::upstream_signals::{SignalHeaders, UpstreamSignals};
 
 /// One sending of a request to an upstream.
 #[derive(Debug, Clone)]
@@ -87,7 +87,7 @@
     /// The copy, or why there is none.
     pub outcome: Result<CopyAnswer, CopyFailure>,
     /// What the head of the runner's answer says of it.
-    pub signals: HeadSignals,
+    pub signals: UpstreamSignals,
 }
 
 /// A [`CopyReply`] that is awaited.
@@ -111,12 +111,12 @@
 
 impl Reading {
     /// Returns what counts of the signals in a head that reads so.
-    pub fn vouched(&self, signals: HeadSignals) -> HeadSignals {
+    pub fn vouched(&self, signals: UpstreamSignals) -> UpstreamSignals {
         match self {
             Self::Answer => signals,
-            Self::NotRun { other_life: false, .. } => signals.of_refusal(),
-            Self::NotRun { .. } => HeadSignals::NONE,
-            Self::Foreign(_) => signals.of_foreign(),
+            Self::NotRun { other_life: false, .. } => signals.for_refusal(),
+            Self::NotRun { .. } => UpstreamSignals::NONE,
+            Self::Foreign(_) => signals.for_unverified(),
         }
     }
 }
@@ -136,14 +136,14 @@
     /// Reads the head of an answer.
     pub read: Rc<ReadHead>,
     /// Headers by which upstreams say something of themselves.
-    pub head_names: HeadNames,
+    pub signal_headers: SignalHeaders,
     /// Has a runner copy a run.
     pub copy: Rc<CopyRun>,
 }
 
 impl RunnerDialect {
     /// Reads what a head says of its upstream.
-    pub fn signals(&self, head: &Parts) -> HeadSignals {
-        HeadSignals::read(&self.head_names, head.status, &head.headers)
+    pub fn signals(&self, head: &Parts) -> UpstreamSignals {
+        UpstreamSignals::read(&self.signal_headers, head.status, &head.headers)
     }
 }
--- a/crates/hatchpitch/src/relay/run.rs
+++ b/crates/hatchpitch/src/relay/run.rs
@@ -27,7 +27,7 @@
 use crate::quarantine::ContentId;
 use crate::quarantine::observer::{self, RunPlace};
 use crate::routing::Verdict;
-use crate::upstream_heads::task as upstream_heads;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Largest answer that is held until it is whole, in bytes; a larger one is passed on as it comes.
 const MAX_HELD_ANSWER: usize = 256 * 1024;
@@ -277,7 +277,7 @@
     /// upstreams wants work again, if all of them asked this box for rest.
     fn come_back(&self) -> Duration {
         let (cx, now) = (&self.relay.cx, clock::now());
-        let (roster, rests) = (cx.upstreams.roster.borrow(), cx.rests.borrow());
+        let (roster, rests) = (cx.upstreams.roster.borrow(), cx.backoffs.borrow());
         let could = roster.serving().filter(|record| {
             record.service == self.service && self.may_run_in(&record.failure_domain)
         });
@@ -410,7 +410,7 @@
         let (parts, body) = res.into_parts();
         let reading = (self.relay.dialect.read)(&self.req, &parts);
         let signals = reading.vouched(self.relay.dialect.signals(&parts));
-        upstream_heads::note(&self.relay.cx, &slot.runner, signals, sent_at);
+        upstream_signals::record(&self.relay.cx, &slot.runner, signals, sent_at);
         match reading {
             Reading::Answer => {}
             Reading::NotRun { cause, other_life } => {
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -26,7 +26,7 @@
 use crate::quarantine::observer::{self, RunPlace};
 use crate::registry::Phase;
 use crate::routing::Verdict;
-use crate::upstream_heads::task as upstream_heads;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Pieces buffered between upstream and caller.
 pub(super) const BUFFERED_PIECES: usize = 32;
@@ -257,7 +257,7 @@
         if !self.leaving || self.moves >= MAX_MOVES || clock::now() < self.next_move {
             return;
         }
-        if let Some(left) = upstream_heads::rest_left(&self.relay.cx, &self.slot.runner) {
+        if let Some(left) = upstream_signals::backoff_remaining(&self.relay.cx, &self.slot.runner) {
             self.next_move = clock::now() + left;
             return;
         }
@@ -328,8 +328,8 @@
                 );
                 self.slot = left;
                 let (cx, runner) = (&self.relay.cx, &self.slot.runner);
-                upstream_heads::await_rest(cx, runner, MOVE_WAIT).await;
-                upstream_heads::obtain_in_advance(cx, runner).await?;
+                upstream_signals::wait_for_backoff(cx, runner, MOVE_WAIT).await;
+                upstream_signals::obtain_in_advance(cx, runner).await?;
                 self.send_resume(source, handle).await.map_err(ResumeFailure::cause)
             }
             (failure, _) => Err(failure.cause()),
@@ -342,8 +342,11 @@
         source: SocketAddr,
         handle: String,
     ) -> Result<Incoming, ResumeFailure> {
-        if upstream_heads::rest_left(&self.relay.cx, &self.slot.runner).is_some() {
-            return Err(ResumeFailure::NotRun(format!("resume: {}", upstream_heads::RESTS)));
+        if upstream_signals::backoff_remaining(&self.relay.cx, &self.slot.runner).is_some() {
+            return Err(ResumeFailure::NotRun(format!(
+                "resume: {}",
+                upstream_signals::BACKING_OFF
+            )));
         }
         let left = self.req.time_left(clock::now());
         let after = self.splitter.last_id().map(str::to_owned);
@@ -365,7 +368,7 @@
         let (parts, body) = sent?.into_parts();
         let reading = (self.relay.dialect.read)(&self.req, &parts);
         let signals = reading.vouched(self.relay.dialect.signals(&parts));
-        upstream_heads::note(&self.relay.cx, &self.slot.runner, signals, sent_at);
+        upstream_signals::record(&self.relay.cx, &self.slot.runner, signals, sent_at);
         match reading {
             Reading::Answer if parts.status.is_success() => {
                 self.relay.cx.metrics.count(Count::Relinks, &self.req.route.name);
--- a/crates/hatchpitch/src/routing/state.rs
+++ b/crates/hatchpitch/src/routing/state.rs
@@ -17,7 +17,7 @@
 use crate::admission::policy::Pick;
 use crate::engine::EngineLoad;
 use crate::ids::{AttemptId, FailureDomainName, Priority, RunnerName};
-use crate::upstream_heads::SharedSignals;
+use crate::upstream_signals::SharedSignals;
 
 /// Bounds of ejection.
 #[derive(Debug, Clone, Copy)]
@@ -311,7 +311,7 @@
         // Where another box gives out the permits, it is asked next.
         let _ = self.signals.limits.borrow_mut().take(&name, asked.priority, now);
         if asked.sends_here {
-            self.signals.rests.borrow_mut().take(&name, now);
+            self.signals.backoffs.borrow_mut().take(&name, now);
         }
         match asked.copied {
             0 => best.reading.add(asked.id.clone(), candidate.prompt, now),
@@ -392,7 +392,7 @@
     /// Returns when one of the runners that could run a request may get it, if all of them are at
     /// their limits or asked for rest.
     pub fn closed(&self, asked: &Asked<'_>, now: Instant) -> Option<Closed> {
-        let (limits, rests) = (self.signals.limits.borrow(), self.signals.rests.borrow());
+        let (limits, rests) = (self.signals.limits.borrow(), self.signals.backoffs.borrow());
         if limits.limited() == 0 && rests.is_empty() {
             return None;
         }
@@ -414,7 +414,7 @@
 
     /// Returns what it costs, in load, that a runner may turn the request away.
     fn risk(&self, asked: &Asked<'_>, runner: &RunnerState, now: Instant) -> f64 {
-        let returns = |name| self.signals.rests.borrow().is_returning(name, now);
+        let returns = |name| self.signals.backoffs.borrow().is_recovering(name, now);
         let is_at_risk = asked.only_try && asked.sends_here && returns(&runner.spec.name);
         if is_at_risk { RETURN_RISK } else { 0.0 }
     }
@@ -423,7 +423,7 @@
     fn admits(&self, asked: &Asked<'_>, runner: &str, now: Instant) -> bool {
         let limits = self.signals.limits.borrow();
         let skipped = asked.skips_limited && limits.limit(runner).is_some();
-        let rested = asked.sends_here && !self.signals.rests.borrow().admits(runner, now);
+        let rested = asked.sends_here && !self.signals.backoffs.borrow().admits(runner, now);
         !skipped && !rested && limits.admits(runner, asked.priority, now)
     }
 
@@ -434,7 +434,7 @@
             return;
         }
         for runner in self.runners.values().filter(|runner| asked.allows(&runner.spec)) {
-            limits.expect(&runner.spec.name, asked.priority, now);
+            limits.record_demand(&runner.spec.name, asked.priority, now);
         }
     }
 
--- a/crates/hatchpitch/src/routing/task.rs
+++ b/crates/hatchpitch/src/routing/task.rs
@@ -10,7 +10,7 @@
 use crate::entry::EntryCx;
 use crate::membership::messages::{MemberRecord, MemberStatus, Subject};
 use crate::membership::task;
-use crate::upstream_heads::task as upstream_heads;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Time between load reports of one runner.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
@@ -37,11 +37,11 @@
 }
 
 async fn read_report(cx: &Rc<EntryCx>, runner: &Runner) {
-    if !upstream_heads::take_spare(cx, &runner.name) {
+    if !upstream_signals::take_spare(cx, &runner.name) {
         // Callers' requests go first; what this box runs there it knows without a report.
         return;
     }
-    let on_head = |signals| upstream_heads::note_aside(cx, &runner.name, signals);
+    let on_head = |signals| upstream_signals::record_background(cx, &runner.name, signals);
     let load = match adapter::load(&cx.upstream(runner.addr), &on_head).await {
         Ok(load) => load,
         Err(err) => {
--- a/crates/hatchpitch/src/upstream_limits/bucket.rs
+++ b/crates/hatchpitch/src/upstream_limits/bucket.rs
@@ -110,7 +110,7 @@
     }
 
     /// Notes that a request of this priority wants a permit, so that some are kept for it.
-    pub fn expect(&mut self, priority: Priority, now: Instant) {
+    pub fn record_demand(&mut self, priority: Priority, now: Instant) {
         let class = Class { asked: now, granted: now };
         self.classes.entry(priority).or_insert(class).asked = now;
     }
@@ -122,7 +122,7 @@
     /// Returns the time until the next permit for this priority, if nobody else takes it.
     pub fn take(&mut self, priority: Priority, now: Instant) -> Result<(), Duration> {
         self.advance(now);
-        self.expect(priority, now);
+        self.record_demand(priority, now);
         if !self.admits(priority, now) {
             return Err(self.opens_in(priority, now));
         }
--- a/crates/hatchpitch/src/upstream_limits/messages.rs
+++ b/crates/hatchpitch/src/upstream_limits/messages.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::heard::{Heard, RateLimit};
+use super::observation::{LimitObservation, RateLimit};
 use crate::ids::{Priority, RunnerName};
 
 /// What was heard of a limit, by its age: clocks of boxes differ.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct HeardAgo {
+pub struct AgedObservation {
     /// The limit; `None` if the upstream named none.
     pub limit: Option<RateLimit>,
     /// Time since the request was sent whose answer told it.
@@ -18,9 +18,9 @@
     pub arrived: Duration,
 }
 
-impl HeardAgo {
+impl AgedObservation {
     /// Tells of something that was heard here.
-    pub fn new(heard: &Heard, now: Instant) -> Self {
+    pub fn new(heard: &LimitObservation, now: Instant) -> Self {
         Self {
             limit: heard.limit,
             sent: now.saturating_duration_since(heard.sent),
@@ -29,19 +29,19 @@
     }
 
     /// Returns what was heard, by the clock of this box.
-    pub fn at(&self, now: Instant) -> Heard {
+    pub fn at(&self, now: Instant) -> LimitObservation {
         let before = |ago: Duration| now.checked_sub(ago).unwrap_or(now);
-        Heard { limit: self.limit, sent: before(self.sent), at: before(self.arrived) }
+        LimitObservation { limit: self.limit, sent: before(self.sent), at: before(self.arrived) }
     }
 }
 
 /// Tells that an upstream names a limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitNotice {
     /// The upstream.
     pub upstream: RunnerName,
     /// What was heard.
-    pub heard: HeardAgo,
+    pub heard: AgedObservation,
 }
 
 /// How much a permit is needed.
@@ -65,7 +65,7 @@
     /// How much it is needed.
     pub kind: PermitKind,
     /// What the asker knows of the limit.
-    pub known: HeardAgo,
+    pub known: AgedObservation,
 }
 
 /// The answer to a [`PermitRequest`].
@@ -81,7 +81,7 @@
         spread: Duration,
     },
     /// The upstream names no limit any more.
-    Unlimited(HeardAgo),
+    Unlimited(AgedObservation),
     /// Another box gives out the permits.
     NotDecider,
 }
--- a/crates/hatchpitch/src/upstream_limits/heard.rs
+++ b/crates/hatchpitch/src/upstream_limits/observation.rs
@@ -47,16 +47,16 @@
 
 /// What the head of one answer says about a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Statement {
+pub enum LimitSignal {
     /// The upstream names a limit.
     Limit(RateLimit),
     /// The upstream names none.
     NoLimit,
     /// The head does not tell: it is damaged, or none of this upstream's whole answers.
-    Unclear,
+    Unknown,
 }
 
-impl Statement {
+impl LimitSignal {
     /// Reads the header `name` of a head.
     pub fn read(headers: &HeaderMap, name: &str) -> Self {
         let Some(value) = headers.get(name) else { return Self::NoLimit };
@@ -66,21 +66,21 @@
             Ok(limit) => Self::Limit(limit),
             Err(err) => {
                 log::debug!(header = name; "limit of an upstream not read: {err}");
-                Self::Unclear
+                Self::Unknown
             }
         }
     }
 
     /// Returns what counts of an answer that is none of success. An upstream that turns a request
     /// away, or fails it, may do so before it comes to name a limit.
-    pub fn of_refusal(self) -> Self {
-        if self == Self::NoLimit { Self::Unclear } else { self }
+    pub fn for_refusal(self) -> Self {
+        if self == Self::NoLimit { Self::Unknown } else { self }
     }
 }
 
 /// What was heard of an upstream's limit, and when.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Heard {
+pub struct LimitObservation {
     /// The limit; `None` if it named none.
     pub limit: Option<RateLimit>,
     /// When the request was sent whose answer told it.
@@ -89,7 +89,7 @@
     pub at: Instant,
 }
 
-impl Heard {
+impl LimitObservation {
     /// Returns whether this takes the place of `known`. Of two whose times overlap the stricter one
     /// holds, so that an answer of before a limit never ends it; the next answer settles it.
     pub fn supersedes(&self, known: &Self) -> bool {
--- a/crates/hatchpitch/src/upstream_limits/book.rs
+++ b/crates/hatchpitch/src/upstream_limits/table.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use super::bucket::Bucket;
-use super::heard::{Heard, RateLimit};
-use super::messages::{HeardAgo, PermitAnswer, PermitKind, PermitRequest};
+use super::messages::{AgedObservation, PermitAnswer, PermitKind, PermitRequest};
+use super::observation::{LimitObservation, RateLimit};
 use crate::ids::{Priority, RunnerName};
 
 /// Part of a limit that all boxes together take without permits while its decider is silent to
@@ -37,7 +37,7 @@
 const NEWS_CHANGE: f64 = 0.25;
 
 /// The book that all tasks and decisions of one box share.
-pub type SharedLimits = Rc<RefCell<LimitBook>>;
+pub type SharedLimits = Rc<RefCell<LimitTable>>;
 
 /// What something that was heard changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -73,7 +73,7 @@
 
 /// Whether a request may be sent to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum Acquired {
     /// The upstream names no limit.
     Free,
     /// A permit was taken.
@@ -96,7 +96,7 @@
 
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
-    pub(super) heard: Heard,
+    pub(super) heard: LimitObservation,
     decider: Option<Decider>,
     pub(super) permits: Permits,
     /// When something was heard of the limit last.
@@ -120,22 +120,27 @@
 
 /// The limits of upstreams, by the names of their lives.
 #[derive(Debug, Clone, Default)]
-pub struct LimitBook {
+pub struct LimitTable {
     pub(super) entries: BTreeMap<RunnerName, Entry>,
     /// How many of them name a limit now.
     pub(super) limited: usize,
 }
 
-impl LimitBook {
+impl LimitTable {
     /// Takes in what was heard of an upstream; returns what that changes. Who decides for one that
-    /// is new has to be told by [`LimitBook::set_decider`].
-    pub fn hear(&mut self, upstream: &str, heard: Heard, now: Instant) -> Option<Change> {
+    /// is new has to be told by [`LimitTable::set_decider`].
+    pub fn hear(
+        &mut self,
+        upstream: &str,
+        heard: LimitObservation,
+        now: Instant,
+    ) -> Option<Change> {
         let change = self.take_in(upstream, heard, now)?;
         self.limited = self.entries.values().filter(|e| e.heard.limit.is_some()).count();
         Some(change)
     }
 
-    fn take_in(&mut self, upstream: &str, heard: Heard, now: Instant) -> Option<Change> {
+    fn take_in(&mut self, upstream: &str, heard: LimitObservation, now: Instant) -> Option<Change> {
         let Some(entry) = self.entries.get_mut(upstream) else {
             heard.limit?;
             self.entries.retain(|_, entry| now.duration_since(entry.used) < FORGET_AFTER);
@@ -168,7 +173,7 @@
     }
 
     /// Returns what is known of an upstream's limit.
-    pub fn heard(&self, upstream: &str) -> Option<&Heard> {
+    pub fn heard(&self, upstream: &str) -> Option<&LimitObservation> {
         self.entries.get(upstream).map(|entry| &entry.heard)
     }
 
@@ -274,55 +279,59 @@
     }
 
     /// Notes that a request of this priority wants to be sent to an upstream.
-    pub fn expect(&mut self, upstream: &str, priority: Priority, now: Instant) {
+    pub fn record_demand(&mut self, upstream: &str, priority: Priority, now: Instant) {
         if let Some(Entry { permits: Permits::Here(bucket), .. }) = self.entries.get_mut(upstream) {
-            bucket.expect(priority, now);
+            bucket.record_demand(priority, now);
         }
     }
 
     /// Takes the permit for one request.
-    pub fn take(&mut self, upstream: &str, priority: Priority, now: Instant) -> Taken {
-        let Some(entry) = self.entries.get_mut(upstream) else { return Taken::Free };
+    pub fn take(&mut self, upstream: &str, priority: Priority, now: Instant) -> Acquired {
+        let Some(entry) = self.entries.get_mut(upstream) else { return Acquired::Free };
         if entry.heard.limit.is_none() {
-            return Taken::Free;
+            return Acquired::Free;
         }
         let taken = match &mut entry.permits {
             Permits::Here(bucket) => bucket.take(priority, now),
             Permits::Elsewhere(closed) => {
                 return match Entry::closed_until(closed, priority) {
-                    Some(until) if now < until => Taken::Denied(until - now),
-                    _ => Taken::Ask,
+                    Some(until) if now < until => Acquired::Denied(until - now),
+                    _ => Acquired::Ask,
                 };
             }
-            Permits::Silent(_, ask_at) if now >= *ask_at => return Taken::Ask,
+            Permits::Silent(_, ask_at) if now >= *ask_at => return Acquired::Ask,
             Permits::Silent(part, _) => part.take(priority, now),
         };
-        taken.map_or_else(Taken::Denied, |()| Taken::Granted)
+        taken.map_or_else(Acquired::Denied, |()| Acquired::Granted)
     }
 
     /// Takes a permit for something that nobody waits for.
     pub fn take_spare(&mut self, upstream: &str, now: Instant) -> bool {
         match self.entries.get_mut(upstream) {
-            Some(Entry { heard: Heard { limit: Some(_), .. }, permits, .. }) => match permits {
-                Permits::Here(bucket) => bucket.take_spare(now),
-                Permits::Elsewhere(_) | Permits::Silent(..) => false,
-            },
+            Some(Entry { heard: LimitObservation { limit: Some(_), .. }, permits, .. }) => {
+                match permits {
+                    Permits::Here(bucket) => bucket.take_spare(now),
+                    Permits::Elsewhere(_) | Permits::Silent(..) => false,
+                }
+            }
             _ => true,
         }
     }
 
     /// Takes a permit for something that can't be held back, if this box gives them out.
-    pub fn take_in_advance(&mut self, upstream: &str, now: Instant) -> Taken {
+    pub fn take_in_advance(&mut self, upstream: &str, now: Instant) -> Acquired {
         match self.entries.get_mut(upstream) {
-            Some(Entry { heard: Heard { limit: Some(_), .. }, permits, .. }) => match permits {
-                Permits::Here(bucket) => {
-                    bucket.take_in_advance(now).map_or_else(Taken::Denied, |()| Taken::Granted)
+            Some(Entry { heard: LimitObservation { limit: Some(_), .. }, permits, .. }) => {
+                match permits {
+                    Permits::Here(bucket) => bucket
+                        .take_in_advance(now)
+                        .map_or_else(Acquired::Denied, |()| Acquired::Granted),
+                    Permits::Elsewhere(_) => Acquired::Ask,
+                    Permits::Silent(_, ask_at) if now >= *ask_at => Acquired::Ask,
+                    Permits::Silent(part, _) => Acquired::Denied(part.opens_in(Priority::MAX, now)),
                 }
-                Permits::Elsewhere(_) => Taken::Ask,
-                Permits::Silent(_, ask_at) if now >= *ask_at => Taken::Ask,
-                Permits::Silent(part, _) => Taken::Denied(part.opens_in(Priority::MAX, now)),
-            },
-            _ => Taken::Free,
+            }
+            _ => Acquired::Free,
         }
     }
 
@@ -333,7 +342,7 @@
             return PermitAnswer::NotDecider;
         };
         if entry.heard.limit.is_none() {
-            return PermitAnswer::Unlimited(HeardAgo::new(&entry.heard, now));
+            return PermitAnswer::Unlimited(AgedObservation::new(&entry.heard, now));
         }
         let Permits::Here(bucket) = &mut entry.permits else { return PermitAnswer::NotDecider };
         entry.used = now;
--- a/crates/hatchpitch/src/upstream_limits/task.rs
+++ b/crates/hatchpitch/src/upstream_limits/task.rs
@@ -8,19 +8,19 @@
 use hatchpitch_net::{Stop, clock};
 use twox_hash::XxHash64;
 
-use super::book::{Change, Decider, Taken};
-use super::heard::{Heard, RateLimit, Statement};
-use super::messages::{HeardAgo, LimitNews, PermitAnswer, PermitKind, PermitRequest};
+use super::messages::{AgedObservation, LimitNotice, PermitAnswer, PermitKind, PermitRequest};
+use super::observation::{LimitObservation, LimitSignal, RateLimit};
+use super::table::{Acquired, Change, Decider};
 use crate::dispatch::owners::owner_of;
 use crate::entry::EntryCx;
 use crate::ids::{Incarnation, Priority, RunnerName};
-use crate::upstream_heads::news::{self, FANOUT};
-use crate::upstream_heads::task as upstream_heads;
+use crate::upstream_signals::notices::{self, FANOUT};
+use crate::upstream_signals::task as upstream_signals;
 
 /// Path for permits.
 pub const PERMIT_PATH: &str = "/box/limit-permit";
 /// Path for news of limits.
-pub const NEWS_PATH: &str = "/box/limit-news";
+pub const LIMIT_NOTICES_PATH: &str = "/box/limit-news";
 /// Time for a permit: a few round trips between failure domains. It holds up a request.
 const PERMIT_LIMIT: Duration = Duration::from_millis(150);
 /// Time between two looks whether boxes were lost or are forgotten, from which the part follows that
@@ -28,21 +28,21 @@
 const LOOK: Duration = Duration::from_millis(500);
 
 /// Notes what the head of an answer says, to a request that was sent at `sent`.
-pub fn note(cx: &Rc<EntryCx>, upstream: &str, said: Statement, sent: Instant) {
+pub fn record(cx: &Rc<EntryCx>, upstream: &str, said: LimitSignal, sent: Instant) {
     let limit = match said {
-        Statement::Limit(limit) => Some(limit),
-        Statement::NoLimit => None,
-        Statement::Unclear => return,
+        LimitSignal::Limit(limit) => Some(limit),
+        LimitSignal::NoLimit => None,
+        LimitSignal::Unknown => return,
     };
     let now = clock::now();
-    hear(cx, upstream, Heard { limit, sent, at: now });
+    hear(cx, upstream, LimitObservation { limit, sent, at: now });
     let decider = cx.limits.borrow_mut().tells(upstream, now);
     if let Some(decider) = decider {
         send_news(cx, decider, &[upstream.to_owned()]);
     }
 }
 
-fn hear(cx: &Rc<EntryCx>, upstream: &str, heard: Heard) {
+fn hear(cx: &Rc<EntryCx>, upstream: &str, heard: LimitObservation) {
     let change = cx.limits.borrow_mut().hear(upstream, heard, clock::now());
     let Some(change) = change else { return };
     log_change(upstream, change);
@@ -61,7 +61,7 @@
 }
 
 /// Brings the permits of all limited upstreams up to the boxes that serve.
-pub fn place_all(cx: &EntryCx) {
+pub fn update_deciders(cx: &EntryCx) {
     let upstreams = cx.limits.borrow().upstreams();
     if upstreams.is_empty() {
         return;
@@ -109,9 +109,9 @@
 pub async fn obtain(cx: &Rc<EntryCx>, upstream: &str, priority: Priority) -> Result<(), Duration> {
     let taken = cx.limits.borrow_mut().take(upstream, priority, clock::now());
     match taken {
-        Taken::Free | Taken::Granted => Ok(()),
-        Taken::Ask => confirm(cx, upstream, priority).await,
-        Taken::Denied(wait) => Err(wait),
+        Acquired::Free | Acquired::Granted => Ok(()),
+        Acquired::Ask => confirm(cx, upstream, priority).await,
+        Acquired::Denied(wait) => Err(wait),
     }
 }
 
@@ -121,12 +121,12 @@
     let taken = cx.limits.borrow_mut().take_in_advance(upstream, now);
     let decider = cx.limits.borrow().asks_at(upstream, now);
     match (taken, decider) {
-        (Taken::Free | Taken::Granted, _) => true,
-        (Taken::Ask, Some(decider)) => {
+        (Acquired::Free | Acquired::Granted, _) => true,
+        (Acquired::Ask, Some(decider)) => {
             let asked = ask(cx, decider, upstream, Priority::MAX, PermitKind::InAdvance);
             asked.await.is_ok()
         }
-        (Taken::Ask | Taken::Denied(_), _) => false,
+        (Acquired::Ask | Acquired::Denied(_), _) => false,
     }
 }
 
@@ -147,7 +147,7 @@
         let now = clock::now();
         limits.asking(upstream, now);
         let Some(heard) = limits.heard(upstream) else { return Ok(()) };
-        HeardAgo::new(heard, now)
+        AgedObservation::new(heard, now)
     };
     let asker = XxHash64::oneshot(0, cx.settings.name.as_bytes());
     let req = PermitRequest { upstream: upstream.to_owned(), asker, priority, kind, known };
@@ -173,28 +173,28 @@
 }
 
 /// Takes in news of limits.
-pub fn take_news(cx: &Rc<EntryCx>, news: &[LimitNews]) {
+pub fn receive_notices(cx: &Rc<EntryCx>, news: &[LimitNotice]) {
     let now = clock::now();
-    for LimitNews { upstream, heard } in news {
+    for LimitNotice { upstream, heard } in news {
         hear(cx, upstream, heard.at(now));
     }
 }
 
 fn spread(cx: &Rc<EntryCx>, upstream: &str) {
     let send = |cx: &EntryCx, peer, names: &[RunnerName]| send_news(cx, peer, names);
-    news::spread(cx, upstream, |cx| &cx.limit_news, send);
+    notices::broadcast(cx, upstream, |cx| &cx.limit_notices, send);
 }
 
 /// Tells a box what is known of some upstreams.
 fn send_news(cx: &EntryCx, peer: SocketAddr, upstreams: &[RunnerName]) {
-    news::send(cx, peer, NEWS_PATH, &news_of(cx, upstreams));
+    notices::send(cx, peer, LIMIT_NOTICES_PATH, &news_of(cx, upstreams));
 }
 
-fn news_of(cx: &EntryCx, upstreams: &[RunnerName]) -> Vec<LimitNews> {
+fn news_of(cx: &EntryCx, upstreams: &[RunnerName]) -> Vec<LimitNotice> {
     let (limits, now) = (cx.limits.borrow(), clock::now());
     let news = upstreams.iter().filter_map(|upstream| {
-        let heard = HeardAgo::new(limits.heard(upstream)?, now);
-        Some(LimitNews { upstream: upstream.clone(), heard })
+        let heard = AgedObservation::new(limits.heard(upstream)?, now);
+        Some(LimitNotice { upstream: upstream.clone(), heard })
     });
     news.collect()
 }
@@ -207,7 +207,7 @@
     let mut known = Serving::new();
     while !stop.is_set() {
         compio::time::sleep(LOOK).await;
-        place_all(&cx);
+        update_deciders(&cx);
         let membership = cx.membership.borrow();
         let serving: Serving =
             membership.serving_boxes().map(|r| (r.box_addr, r.incarnation)).collect();
@@ -226,7 +226,7 @@
     for addr in serving.difference(known).map(|(addr, _)| *addr).filter(|addr| *addr != own) {
         let mut upstreams = cx.limits.borrow().decided_by(own);
         if rand::random::<f64>() < few_of_all {
-            upstream_heads::tell_leavers(cx, addr);
+            upstream_signals::send_leaving_notices(cx, addr);
             upstreams.extend(cx.limits.borrow().decided_by(addr));
         }
         send_news(cx, addr, &upstreams);
--- a/crates/hatchpitch/src/upstream_limits/verify.rs
+++ b/crates/hatchpitch/src/upstream_limits/verify.rs
@@ -1,13 +1,13 @@
-//! Checks what must hold in a [`LimitBook`].
+//! Checks what must hold in a [`LimitTable`].
 
-use super::book::{LimitBook, Permits};
+use super::table::{LimitTable, Permits};
 
 /// Checks a book.
 ///
 /// # Errors
 ///
 /// Returns what does not hold.
-pub fn verify(book: &LimitBook) -> Result<(), String> {
+pub fn verify(book: &LimitTable) -> Result<(), String> {
     let limited = book.entries.values().filter(|entry| entry.heard.limit.is_some()).count();
     if limited != book.limited {
         return Err(format!("{limited} upstreams name limits, {} are counted", book.limited));
--- a/crates/hatchpitch/src/upstream_heads/rests.rs
+++ b/crates/hatchpitch/src/upstream_signals/backoff.rs
@@ -24,7 +24,7 @@
 const REMEMBERED: Duration = Duration::from_secs(60);
 
 /// The book that all tasks and decisions of one box share.
-pub type SharedRests = Rc<RefCell<RestBook>>;
+pub type SharedBackoffs = Rc<RefCell<BackoffTable>>;
 
 #[derive(Debug, Clone)]
 pub(super) struct Rest {
@@ -56,80 +56,80 @@
 
 /// The rests that one box keeps, by the names of the upstreams' lives.
 #[derive(Debug, Clone, Default)]
-pub struct RestBook {
-    pub(super) rests: BTreeMap<RunnerName, Rest>,
+pub struct BackoffTable {
+    pub(super) backoffs: BTreeMap<RunnerName, Rest>,
 }
 
-impl RestBook {
+impl BackoffTable {
     /// Notes that an upstream asked for rest. Of several at one time the one that ends last counts:
     /// the answers may belong to requests that were sent together.
-    pub fn ask(&mut self, upstream: &str, rest: Duration, now: Instant) {
-        self.rests.retain(|_, rest| now < rest.until + REMEMBERED);
+    pub fn start(&mut self, upstream: &str, rest: Duration, now: Instant) {
+        self.backoffs.retain(|_, rest| now < rest.until + REMEMBERED);
         let until = now + rest;
-        match self.rests.get_mut(upstream) {
+        match self.backoffs.get_mut(upstream) {
             Some(known) => {
                 let until = known.until.max(until);
                 *known = Rest { until, sent: 0, last_sent: None, answered: 0 };
             }
             None => {
                 let rest = Rest { until, sent: 0, last_sent: None, answered: 0 };
-                self.rests.insert(upstream.to_owned(), rest);
+                self.backoffs.insert(upstream.to_owned(), rest);
             }
         }
     }
 
     /// Notes an answer that asked for none, to a request of `sent`.
-    pub fn answered(&mut self, upstream: &str, sent: Instant) {
-        let Some(rest) = self.rests.get_mut(upstream) else { return };
+    pub fn record_answer(&mut self, upstream: &str, sent: Instant) {
+        let Some(rest) = self.backoffs.get_mut(upstream) else { return };
         if sent < rest.until {
             return;
         }
         rest.answered += 1;
         if rest.answered >= ANSWERS_TO_RETURN {
-            self.rests.remove(upstream);
+            self.backoffs.remove(upstream);
         }
     }
 
     /// Returns whether nothing is known of any rest.
     pub fn is_empty(&self) -> bool {
-        self.rests.is_empty()
+        self.backoffs.is_empty()
     }
 
     /// Returns how much of an upstream's rest is left, if it rests.
-    pub fn left(&self, upstream: &str, now: Instant) -> Option<Duration> {
-        let left = self.rests.get(upstream)?.until.saturating_duration_since(now);
+    pub fn remaining(&self, upstream: &str, now: Instant) -> Option<Duration> {
+        let left = self.backoffs.get(upstream)?.until.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Returns how many upstreams rest.
-    pub fn resting(&self, now: Instant) -> usize {
-        self.rests.values().filter(|rest| now < rest.until).count()
+    pub fn active_count(&self, now: Instant) -> usize {
+        self.backoffs.values().filter(|rest| now < rest.until).count()
     }
 
     /// Returns whether a request may be sent to an upstream.
     pub fn admits(&self, upstream: &str, now: Instant) -> bool {
-        self.rests.get(upstream).is_none_or(|rest| rest.admits(now))
+        self.backoffs.get(upstream).is_none_or(|rest| rest.admits(now))
     }
 
     /// Returns whether an upstream's rest is over and it has not answered enough since then.
-    pub fn is_returning(&self, upstream: &str, now: Instant) -> bool {
-        self.rests.get(upstream).is_some_and(|rest| now >= rest.until)
+    pub fn is_recovering(&self, upstream: &str, now: Instant) -> bool {
+        self.backoffs.get(upstream).is_some_and(|rest| now >= rest.until)
     }
 
     /// Returns the time until a request may be sent to an upstream.
     pub fn opens_in(&self, upstream: &str, now: Instant) -> Duration {
-        self.rests.get(upstream).map_or(Duration::ZERO, |rest| rest.opens_in(now))
+        self.backoffs.get(upstream).map_or(Duration::ZERO, |rest| rest.opens_in(now))
     }
 
     /// Returns the upstreams to which no request may be sent now.
-    pub fn closed(&self, now: Instant) -> impl Iterator<Item = &RunnerName> {
-        let closed = self.rests.iter().filter(move |(_, rest)| !rest.admits(now));
+    pub fn blocked(&self, now: Instant) -> impl Iterator<Item = &RunnerName> {
+        let closed = self.backoffs.iter().filter(move |(_, rest)| !rest.admits(now));
         closed.map(|(upstream, _)| upstream)
     }
 
     /// Counts a request that is about to be sent; returns whether it may be.
     pub fn take(&mut self, upstream: &str, now: Instant) -> bool {
-        let Some(rest) = self.rests.get_mut(upstream) else { return true };
+        let Some(rest) = self.backoffs.get_mut(upstream) else { return true };
         let admits = rest.admits(now);
         if admits {
             rest.sent += 1;
--- a/crates/hatchpitch/src/upstream_heads/leavers.rs
+++ b/crates/hatchpitch/src/upstream_signals/leaving.rs
@@ -13,11 +13,11 @@
 
 /// Time for which an upstream is taken to leave after it said so last: longer than a drain and a
 /// start take, so that most requests after it meet the next life.
-pub const HOLDS: Duration = Duration::from_secs(30);
+pub const LEAVING_TTL: Duration = Duration::from_secs(30);
 
 /// Tells another box that an upstream leaves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaverNews {
+pub struct LeavingNotice {
     /// The upstream.
     pub upstream: RunnerName,
     /// Time for which that still holds; it does not begin anew with each box that passes it on.
@@ -26,13 +26,13 @@
 
 /// Upstreams that leave, by the names of their lives, with until when that holds.
 #[derive(Debug, Clone, Default)]
-pub struct Leavers(BTreeMap<RunnerName, Instant>);
+pub struct LeavingUpstreams(BTreeMap<RunnerName, Instant>);
 
-impl Leavers {
+impl LeavingUpstreams {
     /// Notes that an upstream leaves, which holds for `left`; returns whether that is news.
     pub fn note(&mut self, upstream: &str, left: Duration, now: Instant) -> bool {
         self.0.retain(|_, until| now < *until);
-        let until = now + left.min(HOLDS);
+        let until = now + left.min(LEAVING_TTL);
         let known = self.0.get_mut(upstream);
         let is_news = known.is_none() && now < until;
         match known {
@@ -49,8 +49,8 @@
     }
 
     /// Returns what to tell another box of the upstreams that leave.
-    pub fn news(&self, now: Instant) -> Vec<LeaverNews> {
-        let left = self.0.iter().map(|(upstream, until)| LeaverNews {
+    pub fn news(&self, now: Instant) -> Vec<LeavingNotice> {
+        let left = self.0.iter().map(|(upstream, until)| LeavingNotice {
             upstream: upstream.clone(),
             left: until.saturating_duration_since(now),
         });
--- a/crates/hatchpitch/src/upstream_heads/mod.rs
+++ b/crates/hatchpitch/src/upstream_signals/mod.rs
@@ -6,17 +6,17 @@
 
 use crate::upstream_limits::SharedLimits;
 
-pub mod leavers;
-pub mod news;
-pub mod rests;
+pub mod backoff;
+pub mod leaving;
+pub mod notices;
 pub mod signals;
 pub mod task;
 pub mod verify;
 
-pub use leavers::{LeaverNews, Leavers};
-pub use news::NewsQueue;
-pub use rests::{RestBook, SharedRests};
-pub use signals::{HeadNames, HeadSignals};
+pub use backoff::{BackoffTable, SharedBackoffs};
+pub use leaving::{LeavingNotice, LeavingUpstreams};
+pub use notices::NoticeQueue;
+pub use signals::{SignalHeaders, UpstreamSignals};
 
 /// What all tasks and decisions of one box know from the heads of answers.
 #[derive(Debug, Clone, Default)]
@@ -24,5 +24,5 @@
     /// Limits for all boxes together.
     pub limits: SharedLimits,
     /// Rests that this box keeps.
-    pub rests: SharedRests,
+    pub backoffs: SharedBackoffs,
 }
--- a/crates/hatchpitch/src/upstream_heads/news.rs
+++ b/crates/hatchpitch/src/upstream_signals/notices.rs
@@ -26,14 +26,14 @@
 
 /// Upstreams of which this box has something to pass on.
 #[derive(Default)]
-pub struct NewsQueue(RefCell<BTreeSet<RunnerName>>);
+pub struct NoticeQueue(RefCell<BTreeSet<RunnerName>>);
 
 /// Passes on what is new of an upstream; `queue` finds those that wait, and `send` sends what is
 /// known of them to a box.
-pub fn spread(
+pub fn broadcast(
     cx: &Rc<EntryCx>,
     upstream: &str,
-    queue: fn(&EntryCx) -> &NewsQueue,
+    queue: fn(&EntryCx) -> &NoticeQueue,
     send: fn(&EntryCx, SocketAddr, &[RunnerName]),
 ) {
     let is_first = {
--- a/crates/hatchpitch/tests/upstream_limits/fleet.rs
+++ b/crates/hatchpitch/tests/upstream_limits/fleet.rs
@@ -7,10 +7,11 @@
 use std::time::{Duration, Instant};
 
 use hatchpitch::ids::Priority;
-use hatchpitch::upstream_limits::messages::HeardAgo;
+use hatchpitch::upstream_limits::messages::AgedObservation;
 use hatchpitch::upstream_limits::verify::verify;
 use hatchpitch::upstream_limits::{
-    Decider, Heard, LimitBook, PermitAnswer, PermitKind, PermitRequest, RateLimit, Taken,
+    Acquired, Decider, LimitObservation, LimitTable, PermitAnswer, PermitKind, PermitRequest,
+    RateLimit,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -32,7 +33,7 @@
     Reply { priority: Priority, answer: PermitAnswer },
     Unanswered,
     Head { limit: Option<f64>, sent: u64 },
-    News(HeardAgo),
+    News(AgedObservation),
 }
 
 #[derive(Debug)]
@@ -64,7 +65,7 @@
 }
 
 struct SimBox {
-    book: LimitBook,
+    book: LimitTable,
     /// Boxes that it takes to serve.
     view: BTreeSet<usize>,
     /// Boxes that it lost of late.
@@ -106,7 +107,7 @@
     pub fn new(boxes: usize, seed: u64) -> Self {
         let all: BTreeSet<usize> = (0..boxes).collect();
         let new = |_| SimBox {
-            book: LimitBook::default(),
+            book: LimitTable::default(),
             view: all.clone(),
             lost: 0,
             frozen_until: 0,
@@ -168,9 +169,9 @@
             return;
         }
         match self.boxes[at].book.take(UPSTREAM, priority, now) {
-            Taken::Free | Taken::Granted => self.send(at, priority),
-            Taken::Denied(wait) => self.refused.push((self.ms, priority, wait)),
-            Taken::Ask => self.ask(at, priority),
+            Acquired::Free | Acquired::Granted => self.send(at, priority),
+            Acquired::Denied(wait) => self.refused.push((self.ms, priority, wait)),
+            Acquired::Ask => self.ask(at, priority),
         }
     }
 
@@ -181,7 +182,7 @@
         let Some(decider) = book.asks_at(UPSTREAM, now) else { return };
         let SocketAddr::V4(decider) = decider else { unreachable!("boxes have IPv4 addresses") };
         let to = usize::from(decider.ip().octets()[3]);
-        let known = HeardAgo::new(book.heard(UPSTREAM).unwrap(), now);
+        let known = AgedObservation::new(book.heard(UPSTREAM).unwrap(), now);
         let upstream = UPSTREAM.to_owned();
         self.asked += 1;
         let asker = at as u64;
@@ -233,20 +234,20 @@
             Message::Head { limit, sent } => {
                 let limit = limit.map(|limit| RateLimit::try_from(limit).unwrap());
                 let sent = self.start + Duration::from_millis(sent);
-                self.hear(to, Heard { limit, sent, at: now });
+                self.hear(to, LimitObservation { limit, sent, at: now });
             }
             Message::News(heard) => self.hear(to, heard.at(now)),
         }
     }
 
-    fn hear(&mut self, at: usize, heard: Heard) {
+    fn hear(&mut self, at: usize, heard: LimitObservation) {
         let now = self.now();
         let Some(change) = self.boxes[at].book.hear(UPSTREAM, heard, now) else { return };
         self.place(at);
         if !change.is_news() {
             return;
         }
-        let news = HeardAgo::new(self.boxes[at].book.heard(UPSTREAM).unwrap(), now);
+        let news = AgedObservation::new(self.boxes[at].book.heard(UPSTREAM).unwrap(), now);
         for other in 0..self.boxes.len() {
             if other != at && self.reaches(at, other) {
                 self.post(NEWS_MS, other, Message::News(news));
@@ -298,7 +299,7 @@
 
     pub fn kill(&mut self, at: usize) {
         self.boxes[at].is_up = false;
-        self.boxes[at].book = LimitBook::default();
+        self.boxes[at].book = LimitTable::default();
     }
 
     /// Starts a box that was killed; the others know of it at once, or see it as before.
--- a/crates/hatchpitch/tests/upstream_limits/line.rs
+++ b/crates/hatchpitch/tests/upstream_limits/line.rs
@@ -7,8 +7,8 @@
 use hatchpitch::ids::Priority;
 use hatchpitch::routing::RoutingConfig;
 use hatchpitch::routing::state::RunnerSpec;
-use hatchpitch::upstream_heads::SharedSignals;
-use hatchpitch::upstream_limits::{Decider, Heard, RateLimit, SharedLimits};
+use hatchpitch::upstream_limits::{Decider, LimitObservation, RateLimit, SharedLimits};
+use hatchpitch::upstream_signals::SharedSignals;
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Requests a second that the limited engine names.
@@ -31,7 +31,7 @@
     line.update(now, |table| table.sync(engines.iter().map(spec)));
     let limit = Some(RateLimit::try_from(LIMIT).unwrap());
     for name in limited {
-        limits.borrow_mut().hear(name, Heard { limit, sent: now, at: now }, now);
+        limits.borrow_mut().hear(name, LimitObservation { limit, sent: now, at: now }, now);
         let decider = Decider { addr: ([10, 0, 0, 1], 1).into(), is_own: true, part: 1.0 };
         limits.borrow_mut().set_decider(name, decider, now);
     }
--- a/crates/hatchpitch/tests/upstream_limits/main.rs
+++ b/crates/hatchpitch/tests/upstream_limits/main.rs
@@ -8,9 +8,11 @@
 use arbtest::arbtest;
 use fleet::{Fleet, UPSTREAM};
 use hatchpitch::ids::Priority;
-use hatchpitch::upstream_limits::messages::HeardAgo;
+use hatchpitch::upstream_limits::messages::AgedObservation;
 use hatchpitch::upstream_limits::verify::verify;
-use hatchpitch::upstream_limits::{Bucket, Decider, Heard, LimitBook, RateLimit, Statement, Taken};
+use hatchpitch::upstream_limits::{
+    Acquired, Bucket, Decider, LimitObservation, LimitSignal, LimitTable, RateLimit,
+};
 use http::{HeaderMap, HeaderValue};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -227,10 +229,10 @@
     }
 }
 
-fn heard(start: Instant, limit: Option<f64>, sent_ms: u64, at_ms: u64) -> Heard {
+fn heard(start: Instant, limit: Option<f64>, sent_ms: u64, at_ms: u64) -> LimitObservation {
     let limit = limit.map(|limit| RateLimit::try_from(limit).unwrap());
     let at = |ms| start + Duration::from_millis(ms);
-    Heard { limit, sent: at(sent_ms), at: at(at_ms) }
+    LimitObservation { limit, sent: at(sent_ms), at: at(at_ms) }
 }
 
 #[test]
@@ -251,18 +253,18 @@
     let read = |value: &str| {
         let mut headers = HeaderMap::new();
         headers.insert("limit", HeaderValue::from_str(value).unwrap());
-        Statement::read(&headers, "limit")
+        LimitSignal::read(&headers, "limit")
     };
-    let limit = |per_second| Statement::Limit(RateLimit::try_from(per_second).unwrap());
+    let limit = |per_second| LimitSignal::Limit(RateLimit::try_from(per_second).unwrap());
     for (text, per_second) in [("4", 4.0), (" 3.25 ", 3.25), ("0", 0.0), ("1e2", 100.0)] {
         assert_eq!(read(text), limit(per_second), "{text}");
     }
     for text in ["", "four", "-1", "NaN", "inf", "4/s"] {
-        assert_eq!(read(text), Statement::Unclear, "{text}");
+        assert_eq!(read(text), LimitSignal::Unknown, "{text}");
     }
-    assert_eq!(Statement::read(&HeaderMap::new(), "limit"), Statement::NoLimit);
-    assert_eq!(Statement::NoLimit.of_refusal(), Statement::Unclear);
-    assert_eq!(limit(4.0).of_refusal(), limit(4.0));
+    assert_eq!(LimitSignal::read(&HeaderMap::new(), "limit"), LimitSignal::NoLimit);
+    assert_eq!(LimitSignal::NoLimit.for_refusal(), LimitSignal::Unknown);
+    assert_eq!(limit(4.0).for_refusal(), limit(4.0));
 }
 
 #[test]
@@ -281,7 +283,7 @@
 #[test]
 fn limits_of_hundreds_of_upstreams_are_kept_apart() {
     let start = Instant::now();
-    let mut book = LimitBook::default();
+    let mut book = LimitTable::default();
     let decider = Decider { addr: ([10, 0, 0, 1], 1).into(), is_own: true, part: 1.0 };
     for number in 0..600 {
         let upstream = format!("u-{number}");
@@ -294,8 +296,8 @@
     let later = start + SECOND;
     for number in 0..600 {
         let upstream = format!("u-{number}");
-        let taken: Vec<Taken> = (0..10).map(|_| book.take(&upstream, 3, later)).collect();
-        let sent = taken.iter().filter(|t| matches!(t, Taken::Free | Taken::Granted)).count();
+        let taken: Vec<Acquired> = (0..10).map(|_| book.take(&upstream, 3, later)).collect();
+        let sent = taken.iter().filter(|t| matches!(t, Acquired::Free | Acquired::Granted)).count();
         let expected = match number % 2 {
             0 => {
                 (f64::from(number % 7 + 1)).min((f64::from(number % 7 + 1) / 2.0).max(2.0)) as usize
@@ -311,7 +313,7 @@
 fn random_words_of_boxes_never_break_a_book() {
     arbtest(|u| {
         let start = Instant::now();
-        let mut book = LimitBook::default();
+        let mut book = LimitTable::default();
         let mut at = 0_u64;
         for _ in 0..u.int_in_range(1..=60)? {
             at += u.int_in_range(0..=900)?;
@@ -346,7 +348,7 @@
                     assert!(admits || !opens_in.is_zero(), "closed without an end");
                     assert!(!asks || book.limit(UPSTREAM).is_some(), "asked without a limit");
                     if let Some(heard) = book.heard(UPSTREAM) {
-                        let ago = HeardAgo::new(heard, now);
+                        let ago = AgedObservation::new(heard, now);
                         assert_eq!(ago.at(now).limit, heard.limit);
                     }
                 }
--- a/crates/hatchpitch/tests/upstream_heads.rs
+++ b/crates/hatchpitch/tests/upstream_signals.rs
@@ -11,10 +11,10 @@
 use hatchpitch::registry::{Detail, FollowAnswer, Phase, Roster, UpstreamRecord};
 use hatchpitch::routing::state::RunnerSpec;
 use hatchpitch::routing::{RoutingConfig, RunReport};
-use hatchpitch::upstream_heads::leavers::HOLDS;
-use hatchpitch::upstream_heads::signals::{MAX_REST, UNREADABLE_REST};
-use hatchpitch::upstream_heads::{
-    HeadNames, HeadSignals, Leavers, RestBook, SharedSignals, verify,
+use hatchpitch::upstream_signals::leaving::LEAVING_TTL;
+use hatchpitch::upstream_signals::signals::{DEFAULT_BACKOFF, MAX_BACKOFF};
+use hatchpitch::upstream_signals::{
+    BackoffTable, LeavingUpstreams, SharedSignals, SignalHeaders, UpstreamSignals, verify,
 };
 use http::{HeaderMap, HeaderValue, StatusCode, header};
 
@@ -25,11 +25,11 @@
 }
 
 /// Reads a head with one header.
-fn read(status: u16, name: &'static str, value: &[u8]) -> HeadSignals {
-    let names = HeadNames { limit: "limit", leaving: "leaving" };
+fn read(status: u16, name: &'static str, value: &[u8]) -> UpstreamSignals {
+    let names = SignalHeaders { limit: "limit", leaving: "leaving" };
     let mut headers = HeaderMap::new();
     headers.insert(name, HeaderValue::from_bytes(value).unwrap());
-    HeadSignals::read(&names, StatusCode::from_u16(status).unwrap(), &headers)
+    UpstreamSignals::read(&names, StatusCode::from_u16(status).unwrap(), &headers)
 }
 
 fn rest(status: u16, value: &[u8]) -> Option<Duration> {
@@ -53,15 +53,15 @@
         (b"1e1", Some(ms(10_000))),
         (b"0", None),
         (b"-0", None),
-        (b"86400", Some(MAX_REST)),
-        (b"1e300", Some(MAX_REST)),
-        (b"inf", Some(MAX_REST)),
-        (b"", Some(UNREADABLE_REST)),
-        (b"-3", Some(UNREADABLE_REST)),
-        (b"NaN", Some(UNREADABLE_REST)),
-        (b"3 s", Some(UNREADABLE_REST)),
-        (b"Wed, 21 Oct 2026 07:28:00 GMT", Some(UNREADABLE_REST)),
-        (b"\xff\xfe", Some(UNREADABLE_REST)),
+        (b"86400", Some(MAX_BACKOFF)),
+        (b"1e300", Some(MAX_BACKOFF)),
+        (b"inf", Some(MAX_BACKOFF)),
+        (b"", Some(DEFAULT_BACKOFF)),
+        (b"-3", Some(DEFAULT_BACKOFF)),
+        (b"NaN", Some(DEFAULT_BACKOFF)),
+        (b"3 s", Some(DEFAULT_BACKOFF)),
+        (b"Wed, 21 Oct 2026 07:28:00 GMT", Some(DEFAULT_BACKOFF)),
+        (b"\xff\xfe", Some(DEFAULT_BACKOFF)),
     ];
     for (value, expected) in cases {
         assert_eq!(rest(503, value), expected, "{}", String::from_utf8_lossy(value));
@@ -80,44 +80,45 @@
 
 #[test]
 fn of_rests_at_one_time_the_one_that_ends_last_counts() {
-    let (mut book, now) = (RestBook::default(), Instant::now());
-    book.ask(UPSTREAM, ms(3_000), now);
-    book.ask(UPSTREAM, ms(500), now + ms(100));
-    assert_eq!(book.left(UPSTREAM, now + ms(1_000)), Some(ms(2_000)));
-    book.ask(UPSTREAM, ms(4_000), now + ms(1_000));
+    let (mut book, now) = (BackoffTable::default(), Instant::now());
+    book.start(UPSTREAM, ms(3_000), now);
+    book.start(UPSTREAM, ms(500), now + ms(100));
+    assert_eq!(book.remaining(UPSTREAM, now + ms(1_000)), Some(ms(2_000)));
+    book.start(UPSTREAM, ms(4_000), now + ms(1_000));
     assert!(!book.admits(UPSTREAM, now + ms(4_999)));
     assert!(book.admits(UPSTREAM, now + ms(5_000)));
     // A short rest after a long one is a short one.
-    book.ask(UPSTREAM, ms(200), now + ms(5_000));
+    book.start(UPSTREAM, ms(200), now + ms(5_000));
     assert!(book.admits(UPSTREAM, now + ms(5_200)));
     assert!(book.admits("another", now));
 }
 
 #[test]
 fn after_a_rest_requests_grow_with_answers() {
-    let (mut book, now) = (RestBook::default(), Instant::now());
-    book.ask(UPSTREAM, ms(1_000), now);
+    let (mut book, now) = (BackoffTable::default(), Instant::now());
+    book.start(UPSTREAM, ms(1_000), now);
     let back = now + ms(1_000);
-    let take_all = |book: &mut RestBook, at| (0..50).filter(|_| book.take(UPSTREAM, at)).count();
+    let take_all =
+        |book: &mut BackoffTable, at| (0..50).filter(|_| book.take(UPSTREAM, at)).count();
     assert_eq!(take_all(&mut book, back), 1);
     assert!(!book.opens_in(UPSTREAM, back).is_zero());
     // An answer to a request of before the rest says nothing.
-    book.answered(UPSTREAM, now);
+    book.record_answer(UPSTREAM, now);
     assert_eq!(take_all(&mut book, back), 0);
-    book.answered(UPSTREAM, back);
+    book.record_answer(UPSTREAM, back);
     assert_eq!(take_all(&mut book, back), 2);
-    book.answered(UPSTREAM, back);
+    book.record_answer(UPSTREAM, back);
     assert_eq!(take_all(&mut book, back), 2);
-    book.answered(UPSTREAM, back);
-    book.answered(UPSTREAM, back);
+    book.record_answer(UPSTREAM, back);
+    book.record_answer(UPSTREAM, back);
     assert_eq!(take_all(&mut book, back), 50);
     verify::verify(&book).unwrap();
 }
 
 #[test]
 fn an_upstream_that_answers_nothing_after_its_rest_is_tried_again() {
-    let (mut book, now) = (RestBook::default(), Instant::now());
-    book.ask(UPSTREAM, ms(100), now);
+    let (mut book, now) = (BackoffTable::default(), Instant::now());
+    book.start(UPSTREAM, ms(100), now);
     assert!(book.take(UPSTREAM, now + ms(100)));
     assert!(!book.take(UPSTREAM, now + ms(1_000)));
     assert!(book.take(UPSTREAM, now + ms(1_100)));
@@ -128,28 +129,28 @@
 #[test]
 fn no_request_is_sent_within_a_rest() {
     arbtest::arbtest(|u: &mut Unstructured<'_>| {
-        let (mut book, start) = (RestBook::default(), Instant::now());
+        let (mut book, start) = (BackoffTable::default(), Instant::now());
         let (mut now, mut until, mut sent) = (start, start, Vec::new());
         while !u.is_empty() {
             now += ms(u.int_in_range(0..=400)?);
             match u.int_in_range(0..=2)? {
                 0 => {
                     let rest = ms(u.int_in_range(1..=2_000)?);
-                    book.ask(UPSTREAM, rest, now);
+                    book.start(UPSTREAM, rest, now);
                     until = until.max(now + rest);
                     sent.clear();
                 }
                 1 => {
                     let taken = book.take(UPSTREAM, now);
                     assert!(!taken || now >= until, "{:?} before the end", until - now);
-                    assert_eq!(book.left(UPSTREAM, now).is_some(), now < until);
+                    assert_eq!(book.remaining(UPSTREAM, now).is_some(), now < until);
                     if taken {
                         sent.push(now);
                     }
                 }
                 _ => {
                     if let Some(at) = sent.pop() {
-                        book.answered(UPSTREAM, at);
+                        book.record_answer(UPSTREAM, at);
                     }
                 }
             }
@@ -196,7 +197,7 @@
     let now = Instant::now();
     assert!(matches!(line.decide(&want(1), now), Decision::Run(_)));
     assert!(matches!(line.decide(&want(2), now), Decision::Wait(_)));
-    signals.rests.borrow_mut().ask("u", ms(3_000), now);
+    signals.backoffs.borrow_mut().start("u", ms(3_000), now);
     line.give_back("u", &want(1), 0, RunReport::RELEASED, now);
     assert!(line.take_answers().is_empty());
     // It has waited for as long as it may, and is told when the upstream wants work again.
@@ -210,9 +211,9 @@
 fn requests_that_no_upstream_wants_are_refused_on_arrival() {
     let (mut line, signals) = line(&["u", "v"]);
     let now = Instant::now();
-    signals.rests.borrow_mut().ask("u", ms(4_000), now);
+    signals.backoffs.borrow_mut().start("u", ms(4_000), now);
     assert!(matches!(line.decide(&want(1), now), Decision::Run(spec) if spec.name == "v"));
-    signals.rests.borrow_mut().ask("v", ms(2_000), now);
+    signals.backoffs.borrow_mut().start("v", ms(2_000), now);
     let Decision::Refuse(refusal) = line.decide(&want(2), now) else { panic!("not refused") };
     assert_eq!(refusal.cause, RESTING);
     assert!((ms(2_000)..ms(2_300)).contains(&refusal.retry_after), "{:?}", refusal.retry_after);
@@ -223,7 +224,7 @@
 fn callers_that_are_told_the_same_end_of_a_rest_come_back_at_different_times() {
     let (mut line, signals) = line(&["u"]);
     let now = Instant::now();
-    signals.rests.borrow_mut().ask("u", ms(2_000), now);
+    signals.backoffs.borrow_mut().start("u", ms(2_000), now);
     let mut ends: Vec<Duration> = (0..20)
         .map(|id| match line.decide(&want(id), now) {
             Decision::Refuse(refusal) => refusal.retry_after,
@@ -241,7 +242,7 @@
     let now = Instant::now();
     for only_try in [false, true] {
         let (mut line, signals) = line_of(&["u", "v"], 4);
-        signals.rests.borrow_mut().ask("u", ms(100), now);
+        signals.backoffs.borrow_mut().start("u", ms(100), now);
         let back = now + ms(100);
         assert!(matches!(line.decide(&want(1), now), Decision::Run(spec) if spec.name == "v"));
         let second = Want { only_try, ..want(2) };
@@ -260,7 +261,7 @@
 fn a_rest_does_not_bind_requests_that_another_box_sends() {
     let (mut line, signals) = line(&["u"]);
     let now = Instant::now();
-    signals.rests.borrow_mut().ask("u", ms(2_000), now);
+    signals.backoffs.borrow_mut().start("u", ms(2_000), now);
     let of_other = Want { sends_here: false, ..want(1) };
     assert!(matches!(line.decide(&of_other, now), Decision::Run(_)));
     // The mark does not travel.
@@ -319,28 +320,28 @@
 
 #[test]
 fn what_an_upstream_that_keeps_its_name_says_of_leaving_holds_for_a_time() {
-    let (mut leavers, now) = (Leavers::default(), Instant::now());
-    assert!(leavers.note("u", HOLDS, now));
-    assert!(!leavers.note("u", HOLDS, now + ms(1_000)));
-    assert!(leavers.contains("u", now + HOLDS));
-    assert!(!leavers.contains("u", now + HOLDS + ms(1_000)));
-    assert!(leavers.note("u", HOLDS, now + HOLDS + ms(1_000)));
+    let (mut leavers, now) = (LeavingUpstreams::default(), Instant::now());
+    assert!(leavers.note("u", LEAVING_TTL, now));
+    assert!(!leavers.note("u", LEAVING_TTL, now + ms(1_000)));
+    assert!(leavers.contains("u", now + LEAVING_TTL));
+    assert!(!leavers.contains("u", now + LEAVING_TTL + ms(1_000)));
+    assert!(leavers.note("u", LEAVING_TTL, now + LEAVING_TTL + ms(1_000)));
 }
 
 /// Boxes that pass it on to each other, as others join, would otherwise keep it up for ever.
 #[test]
 fn that_an_upstream_leaves_does_not_begin_anew_with_each_box_that_hears_of_it() {
     let now = Instant::now();
-    let mut told = Leavers::default();
-    told.note("u", HOLDS, now);
+    let mut told = LeavingUpstreams::default();
+    told.note("u", LEAVING_TTL, now);
     for passed in 1..=5 {
-        let at = now + HOLDS.mul_f64(0.19) * passed;
+        let at = now + LEAVING_TTL.mul_f64(0.19) * passed;
         let news = told.news(at).remove(0);
-        let mut next = Leavers::default();
+        let mut next = LeavingUpstreams::default();
         assert!(next.note(&news.upstream, news.left, at));
         told = next;
     }
-    assert!(told.contains("u", now + HOLDS.mul_f64(0.99)));
-    assert!(!told.contains("u", now + HOLDS));
+    assert!(told.contains("u", now + LEAVING_TTL.mul_f64(0.99)));
+    assert!(!told.contains("u", now + LEAVING_TTL));
     assert!(!told.note("v", Duration::ZERO, now));
 }
--- a/crates/standins/src/heads.rs
+++ b/crates/standins/src/heads.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::FutureExt;
-use hatchpitch::engine::adapter::HEAD_NAMES;
+use hatchpitch::engine::adapter::SIGNAL_HEADERS;
 use hatchpitch::outcome::{OUTCOME_HEADER, Outcome, text_response};
 use hatchpitch_net::{Body, Handler, read_body};
 use http::{HeaderValue, Request, Response, StatusCode, header};
@@ -72,10 +72,10 @@
     fn speak(&self, mut res: Response<Body>) -> Response<Body> {
         let value = self.limit.get().map(|limit| HeaderValue::from_str(&limit.to_string()));
         if let Some(Ok(value)) = value {
-            res.headers_mut().insert(HEAD_NAMES.limit, value);
+            res.headers_mut().insert(SIGNAL_HEADERS.limit, value);
         }
         if self.leaving.get() {
-            res.headers_mut().insert(HEAD_NAMES.leaving, HeaderValue::from_static("1"));
+            res.headers_mut().insert(SIGNAL_HEADERS.leaving, HeaderValue::from_static("1"));
         }
         res
     }
