--- a/crates/hatchpitch/src/upstream_signals/backoff.rs
+++ b/crates/hatchpitch/src/upstream_signals/backoff.rs
@@ -1,9 +1,9 @@
-//! The rests that upstreams asked this box for, without I/O.
+//! Backoffs that upstreams requested from this box, without I/O.
 //!
-//! Load pattern answered: an upstream in need that turns away what many boxes send, and tells each
-//! of them for how long it wants nothing; while the need lasts it does so again after each rest.
-//! What it gets right after a rest is one request of each box, and then as many more as were
-//! answered, so that the work which made it ask does not come back all at once.
+//! An overloaded upstream rejects requests of many boxes and tells each how long to back off; while
+//! the overload lasts, it does so again after each backoff. When a backoff ends, each box sends one
+//! request, and further ones in proportion to the responses (slow start), so that the load which
+//! caused the overload does not return all at once.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,37 +12,38 @@
 
 use crate::ids::RunnerName;
 
-/// Requests that may be under way after a rest for each one that was answered, beside the first.
-const SENT_AN_ANSWER: u32 = 2;
-/// Answers after which an upstream counts like any other: by then eight requests may be under way.
-const ANSWERS_TO_RETURN: u32 = 4;
-/// Time after which another request may go to an upstream that answers none after its rest.
-const UNANSWERED: Duration = Duration::from_secs(1);
-/// Time that the next answer after a rest is expected to take.
+/// Requests that each response after a backoff allows, in addition to the first one.
+const REQUESTS_PER_ANSWER: u32 = 2;
+/// Responses after which slow start ends. By then eight requests may be in flight.
+const ANSWERS_TO_RECOVER: u32 = 4;
+/// Interval at which requests are sent to an upstream that does not respond after its backoff.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Estimated time until the next response during slow start.
 const ANSWER_WAIT: Duration = Duration::from_millis(50);
-/// Time after the end of a rest for which it is remembered.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time after its end at which a backoff is dropped.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// The book that all tasks and decisions of one box share.
+/// The table that all tasks and scheduling decisions of one box share.
 pub type SharedBackoffs = Rc<RefCell<BackoffTable>>;
 
 #[derive(Debug, Clone)]
-pub(super) struct Rest {
+pub(super) struct Backoff {
     until: Instant,
-    /// Requests that were sent after it, and when the last one was.
+    /// Requests sent after it ended.
     pub(super) sent: u32,
+    /// When the last of them was sent.
     pub(super) last_sent: Option<Instant>,
-    /// Requests sent after it that were answered.
+    /// Responses to them.
     pub(super) answered: u32,
 }
 
-impl Rest {
+impl Backoff {
     fn admits(&self, now: Instant) -> bool {
         if now < self.until {
             return false;
         }
-        let is_due = self.last_sent.is_none_or(|at| now >= at + UNANSWERED);
-        self.sent <= self.answered * SENT_AN_ANSWER || is_due
+        let probe_due = self.last_sent.is_none_or(|at| now >= at + PROBE_INTERVAL);
+        self.sent <= self.answered * REQUESTS_PER_ANSWER || probe_due
     }
 
     fn opens_in(&self, now: Instant) -> Duration {
@@ -54,86 +55,86 @@
     }
 }
 
-/// The rests that one box keeps, by the names of the upstreams' lives.
+/// Backoffs of one box, by the names of the upstreams' lives.
 #[derive(Debug, Clone, Default)]
 pub struct BackoffTable {
-    pub(super) backoffs: BTreeMap<RunnerName, Rest>,
+    pub(super) backoffs: BTreeMap<RunnerName, Backoff>,
 }
 
 impl BackoffTable {
-    /// Notes that an upstream asked for rest. Of several at one time the one that ends last counts:
-    /// the answers may belong to requests that were sent together.
-    pub fn start(&mut self, upstream: &str, rest: Duration, now: Instant) {
-        self.backoffs.retain(|_, rest| now < rest.until + REMEMBERED);
-        let until = now + rest;
+    /// Starts or extends an upstream's backoff. Of overlapping backoffs the one that ends last
+    /// applies, because the responses may belong to requests that were sent together.
+    pub fn start(&mut self, upstream: &str, duration: Duration, now: Instant) {
+        self.backoffs.retain(|_, backoff| now < backoff.until + RETENTION);
+        let until = now + duration;
         match self.backoffs.get_mut(upstream) {
             Some(known) => {
                 let until = known.until.max(until);
-                *known = Rest { until, sent: 0, last_sent: None, answered: 0 };
+                *known = Backoff { until, sent: 0, last_sent: None, answered: 0 };
             }
             None => {
-                let rest = Rest { until, sent: 0, last_sent: None, answered: 0 };
-                self.backoffs.insert(upstream.to_owned(), rest);
+                let backoff = Backoff { until, sent: 0, last_sent: None, answered: 0 };
+                self.backoffs.insert(upstream.to_owned(), backoff);
             }
         }
     }
 
-    /// Notes an answer that asked for none, to a request of `sent`.
+    /// Records a response without a backoff, to a request that was sent at `sent`.
     pub fn record_answer(&mut self, upstream: &str, sent: Instant) {
-        let Some(rest) = self.backoffs.get_mut(upstream) else { return };
-        if sent < rest.until {
+        let Some(backoff) = self.backoffs.get_mut(upstream) else { return };
+        if sent < backoff.until {
             return;
         }
-        rest.answered += 1;
-        if rest.answered >= ANSWERS_TO_RETURN {
+        backoff.answered += 1;
+        if backoff.answered >= ANSWERS_TO_RECOVER {
             self.backoffs.remove(upstream);
         }
     }
 
-    /// Returns whether nothing is known of any rest.
+    /// Returns whether there is no backoff, active or in slow start.
     pub fn is_empty(&self) -> bool {
         self.backoffs.is_empty()
     }
 
-    /// Returns how much of an upstream's rest is left, if it rests.
+    /// Returns the remaining time of an upstream's backoff, if one is active.
     pub fn remaining(&self, upstream: &str, now: Instant) -> Option<Duration> {
-        let left = self.backoffs.get(upstream)?.until.saturating_duration_since(now);
-        (!left.is_zero()).then_some(left)
+        let remaining = self.backoffs.get(upstream)?.until.saturating_duration_since(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Returns how many upstreams rest.
+    /// Returns the number of upstreams with an active backoff.
     pub fn active_count(&self, now: Instant) -> usize {
-        self.backoffs.values().filter(|rest| now < rest.until).count()
+        self.backoffs.values().filter(|backoff| now < backoff.until).count()
     }
 
     /// Returns whether a request may be sent to an upstream.
     pub fn admits(&self, upstream: &str, now: Instant) -> bool {
-        self.backoffs.get(upstream).is_none_or(|rest| rest.admits(now))
+        self.backoffs.get(upstream).is_none_or(|backoff| backoff.admits(now))
     }
 
-    /// Returns whether an upstream's rest is over and it has not answered enough since then.
+    /// Returns whether an upstream is in slow start after a backoff.
     pub fn is_recovering(&self, upstream: &str, now: Instant) -> bool {
-        self.backoffs.get(upstream).is_some_and(|rest| now >= rest.until)
+        self.backoffs.get(upstream).is_some_and(|backoff| now >= backoff.until)
     }
 
     /// Returns the time until a request may be sent to an upstream.
     pub fn opens_in(&self, upstream: &str, now: Instant) -> Duration {
-        self.backoffs.get(upstream).map_or(Duration::ZERO, |rest| rest.opens_in(now))
+        self.backoffs.get(upstream).map_or(Duration::ZERO, |backoff| backoff.opens_in(now))
     }
 
-    /// Returns the upstreams to which no request may be sent now.
+    /// Returns the upstreams to which no request may be sent at `now`.
     pub fn blocked(&self, now: Instant) -> impl Iterator<Item = &RunnerName> {
-        let closed = self.backoffs.iter().filter(move |(_, rest)| !rest.admits(now));
-        closed.map(|(upstream, _)| upstream)
+        let blocked = self.backoffs.iter().filter(move |(_, backoff)| !backoff.admits(now));
+        blocked.map(|(upstream, _)| upstream)
     }
 
-    /// Counts a request that is about to be sent; returns whether it may be.
+    /// Counts a request that is about to be sent; returns whether it may be sent.
     pub fn take(&mut self, upstream: &str, now: Instant) -> bool {
-        let Some(rest) = self.backoffs.get_mut(upstream) else { return true };
-        let admits = rest.admits(now);
+        let Some(backoff) = self.backoffs.get_mut(upstream) else { return true };
+        let admits = backoff.admits(now);
         if admits {
-            rest.sent += 1;
-            rest.last_sent = Some(now);
+            backoff.sent += 1;
+            backoff.last_sent = Some(now);
         }
         admits
     }
--- a/crates/hatchpitch/src/upstream_signals/mod.rs
+++ b/crates/hatchpitch/src/upstream_signals/mod.rs
@@ -1,8 +1,8 @@
-//! What upstreams say of themselves in the heads of their answers.
+//! Signals that upstreams send in the headers of their responses.
 //!
-//! Every path that sends something to an upstream hands the heads of its answers to this module,
-//! which reads all of it in one place: a limit for all boxes together, a rest that this box is to
-//! keep, and that the upstream leaves.
+//! Every code path that sends something to an upstream passes the response head to this module,
+//! which reads all signals in one place: a rate limit shared by all boxes, a backoff that applies
+//! to this box alone, and an announcement that the upstream is leaving.
 
 use crate::upstream_limits::SharedLimits;
 
@@ -18,11 +18,11 @@
 pub use notices::NoticeQueue;
 pub use signals::{SignalHeaders, UpstreamSignals};
 
-/// What all tasks and decisions of one box know from the heads of answers.
+/// Signal state that all tasks and scheduling decisions of one box share.
 #[derive(Debug, Clone, Default)]
 pub struct SharedSignals {
-    /// Limits for all boxes together.
+    /// Rate limits that apply to all boxes together.
     pub limits: SharedLimits,
-    /// Rests that this box keeps.
+    /// Backoffs that apply to this box.
     pub backoffs: SharedBackoffs,
 }
--- a/crates/hatchpitch/src/upstream_signals/notices.rs
+++ b/crates/hatchpitch/src/upstream_signals/notices.rs
@@ -1,6 +1,7 @@
-//! Passes on to other boxes what upstreams told one of them.
+//! Forwards signals that one box received from upstreams to other boxes.
 //!
-//! Each box passes news on once, to a few others, so what a box sends does not grow with the fleet.
+//! Each box forwards a notice once, to [`FANOUT`] others, so the load per box does not grow with
+//! the fleet.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -13,23 +14,23 @@
 use crate::entry::EntryCx;
 use crate::ids::RunnerName;
 
-/// Boxes that each box passes news on to. Of few boxes all hear of it; of many about 98 of 100 do,
-/// and the others with their own next answer.
+/// Number of boxes to which each box forwards a notice. In a small fleet it reaches every box; in a
+/// large one about 98 of 100, and the others learn of it from their own next response.
 pub const FANOUT: usize = 4;
-/// Time in which news are gathered before they are passed on: far below the half second after
-/// which a box is expected to keep to what it was told.
-const GATHER: Duration = Duration::from_millis(20);
-/// Time for a message of news.
-const NEWS_LIMIT: Duration = Duration::from_millis(500);
-/// Most news in one message, of about 100 bytes each.
-const MAX_NEWS: usize = 128;
+/// Time for which notices are collected before they are sent. It is far below the 500 ms within
+/// which a box is expected to act on a signal.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Timeout of a message with notices.
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of notices in one message, of about 100 bytes each.
+const MAX_NOTICES: usize = 128;
 
-/// Upstreams of which this box has something to pass on.
+/// Upstreams about which this box has notices to send.
 #[derive(Default)]
 pub struct NoticeQueue(RefCell<BTreeSet<RunnerName>>);
 
-/// Passes on what is new of an upstream; `queue` finds those that wait, and `send` sends what is
-/// known of them to a box.
+/// Queues an upstream for a notice to [`FANOUT`] other boxes. `queue` selects the queue, and `send`
+/// sends one box the current state of the queued upstreams.
 pub fn broadcast(
     cx: &Rc<EntryCx>,
     upstream: &str,
@@ -46,7 +47,7 @@
     }
     let cx = cx.clone();
     compio::runtime::spawn(async move {
-        compio::time::sleep(GATHER).await;
+        compio::time::sleep(BATCH_DELAY).await;
         let upstreams: Vec<RunnerName> = queue(&cx).0.take().into_iter().collect();
         let peers = cx.membership.borrow_mut().peers(FANOUT);
         for peer in peers {
@@ -56,17 +57,17 @@
     .detach();
 }
 
-/// Sends news to a box, in as many messages as they take, without waiting for answers.
-pub fn send<T>(cx: &EntryCx, peer: SocketAddr, path: &'static str, news: &[T])
+/// Sends notices to a box, in batches of at most [`MAX_NOTICES`], without waiting for replies.
+pub fn send<T>(cx: &EntryCx, peer: SocketAddr, path: &'static str, notices: &[T])
 where
     T: Serialize + Clone + 'static,
 {
-    for part in news.chunks(MAX_NEWS) {
-        let (client, part) = (cx.boxes.clone(), part.to_vec());
+    for batch in notices.chunks(MAX_NOTICES) {
+        let (client, batch) = (cx.boxes.clone(), batch.to_vec());
         compio::runtime::spawn(async move {
-            if let Err(err) = client.call::<_, ()>(peer, path, &part, NEWS_LIMIT).await {
+            if let Err(err) = client.call::<_, ()>(peer, path, &batch, SEND_TIMEOUT).await {
                 log::debug!(
-                    "news of upstreams: {err}; the box hears of them with its own next answer"
+                    "upstream notices not sent to a box, which learns of them from its next response: {err}"
                 );
             }
         })
--- a/crates/hatchpitch/src/upstream_signals/signals.rs
+++ b/crates/hatchpitch/src/upstream_signals/signals.rs
@@ -1,4 +1,4 @@
-//! Reads the signals in the head of an answer.
+//! Parses the signals in the head of a response.
 
 use std::time::Duration;
 
@@ -6,62 +6,63 @@
 
 use crate::upstream_limits::LimitSignal;
 
-/// Longest rest that is kept; it bounds what a damaged value costs.
+/// Longest backoff that is honored. It bounds the effect of a corrupted value.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(600);
-/// Rest that is kept if an upstream asks for one without a readable time: the shortest that whole
-/// seconds can ask for.
+/// Backoff for a `Retry-After` that is not a number of seconds. It is the shortest that whole
+/// seconds can express.
 pub const DEFAULT_BACKOFF: Duration = Duration::from_secs(1);
-/// Value of the header by which an upstream says that it leaves.
+/// Header value by which an upstream announces that it is leaving.
 const LEAVING_VALUE: &str = "1";
 
-/// Names of the headers that carry signals, in small letters. The name of the time to come back is
-/// that of the standard.
+/// Names of the headers that carry signals, in lower case. A backoff is carried by the standard
+/// `Retry-After` header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SignalHeaders {
-    /// Requests a second that the upstream takes from all boxes together.
+    /// Rate limit for all boxes together, in requests a second.
     pub limit: &'static str,
-    /// Whether the upstream leaves.
+    /// Announcement that the upstream is leaving.
     pub leaving: &'static str,
 }
 
-/// What the head of one answer says of its upstream.
+/// Signals in the head of one response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UpstreamSignals {
-    /// The limit for all boxes together.
+    /// Rate limit for all boxes together.
     pub limit: LimitSignal,
-    /// Time for which the upstream wants nothing more from this box.
-    pub rest: Option<Duration>,
-    /// Whether it takes no new work from anybody in this life.
+    /// Time for which this box should send the upstream nothing.
+    pub backoff: Option<Duration>,
+    /// Whether the upstream accepts no more work from any box in this life.
     pub leaving: bool,
 }
 
 impl UpstreamSignals {
-    /// Nothing was said, or nothing that counts.
-    pub const NONE: Self = Self { limit: LimitSignal::Unknown, rest: None, leaving: false };
+    /// No signal, or none that can be trusted.
+    pub const NONE: Self = Self { limit: LimitSignal::Unknown, backoff: None, leaving: false };
 
-    /// Reads the head of an answer.
+    /// Parses the head of a response.
     pub fn read(names: &SignalHeaders, status: StatusCode, headers: &HeaderMap) -> Self {
         let limit = LimitSignal::read(headers, names.limit);
         Self {
             limit: if status.is_success() { limit } else { limit.for_refusal() },
-            rest: read_rest(status, headers),
+            backoff: parse_backoff(status, headers),
             leaving: headers.get(names.leaving).is_some_and(|value| value == LEAVING_VALUE),
         }
     }
 
-    /// Returns what counts of the head of an answer that turns a request away.
+    /// Returns the signals that apply if the response rejects the request.
     pub fn for_refusal(self) -> Self {
         Self { limit: self.limit.for_refusal(), ..self }
     }
 
-    /// Returns what counts of a head that may not belong to an answer of the upstream.
+    /// Returns the signals that apply if the response may not come from the upstream: only a
+    /// backoff.
     pub fn for_unverified(self) -> Self {
-        Self { rest: self.rest, ..Self::NONE }
+        Self { backoff: self.backoff, ..Self::NONE }
     }
 }
 
-/// Reads for how long an upstream that turns a request away wants nothing more.
-fn read_rest(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
+/// Parses the backoff in a response that rejects a request.
+fn parse_backoff(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
     if !matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
         return None;
     }
@@ -69,9 +70,9 @@
     let text = value.to_str().unwrap_or("").trim();
     let seconds = text.parse::<f64>().ok().filter(|seconds| *seconds >= 0.0);
     let Some(seconds) = seconds else {
-        log::debug!("rest of an upstream not read: found {text:?}, expected seconds");
+        log::debug!("invalid Retry-After of an upstream: found {text:?}, expected seconds");
         return Some(DEFAULT_BACKOFF);
     };
-    let rest = Duration::from_secs_f64(seconds.min(MAX_BACKOFF.as_secs_f64()));
-    (!rest.is_zero()).then_some(rest)
+    let backoff = Duration::from_secs_f64(seconds.min(MAX_BACKOFF.as_secs_f64()));
+    (!backoff.is_zero()).then_some(backoff)
 }
--- a/crates/hatchpitch/src/upstream_signals/verify.rs
+++ b/crates/hatchpitch/src/upstream_signals/verify.rs
@@ -1,20 +1,23 @@
-//! Checks what must hold in a [`BackoffTable`].
+//! Checks the invariants of a [`BackoffTable`].
 
 use super::backoff::BackoffTable;
 
-/// Checks a book of rests, of which every request that was sent was taken.
+/// Checks a table in which every request was counted by [`BackoffTable::take`].
 ///
 /// # Errors
 ///
-/// Returns what does not hold.
-pub fn verify(book: &BackoffTable) -> Result<(), String> {
-    for (upstream, rest) in &book.backoffs {
-        if rest.answered > rest.sent {
-            let (answered, sent) = (rest.answered, rest.sent);
+/// Returns the first violated invariant.
+pub fn verify(table: &BackoffTable) -> Result<(), String> {
+    for (upstream, backoff) in &table.backoffs {
+        if backoff.answered > backoff.sent {
+            let (answered, sent) = (backoff.answered, backoff.sent);
             return Err(format!("{upstream}: {answered} answers to {sent} requests"));
         }
-        if rest.sent > 0 && rest.last_sent.is_none() {
-            return Err(format!("{upstream}: {} requests at no time", rest.sent));
+        if backoff.sent > 0 && backoff.last_sent.is_none() {
+            return Err(format!(
+                "{upstream}: {} requests without a time of the last one",
+                backoff.sent
+            ));
         }
     }
     Ok(())
--- a/crates/hatchpitch/tests/upstream_signals.rs
+++ b/crates/hatchpitch/tests/upstream_signals.rs
@@ -1,5 +1,5 @@
-//! Signals in the heads of answers, and what follows from them: rests, upstreams that leave, and
-//! requests that wait for either to end.
+//! Signals in the heads of responses and their effects: backoffs, leaving upstreams, and queued
+//! requests.
 
 use std::time::{Duration, Instant};
 
@@ -24,29 +24,29 @@
     Duration::from_millis(ms)
 }
 
-/// Reads a head with one header.
-fn read(status: u16, name: &'static str, value: &[u8]) -> UpstreamSignals {
+/// Parses a response head with one header.
+fn parse(status: u16, name: &'static str, value: &[u8]) -> UpstreamSignals {
     let names = SignalHeaders { limit: "limit", leaving: "leaving" };
     let mut headers = HeaderMap::new();
     headers.insert(name, HeaderValue::from_bytes(value).unwrap());
     UpstreamSignals::read(&names, StatusCode::from_u16(status).unwrap(), &headers)
 }
 
-fn rest(status: u16, value: &[u8]) -> Option<Duration> {
-    read(status, header::RETRY_AFTER.as_str(), value).rest
+fn backoff(status: u16, value: &[u8]) -> Option<Duration> {
+    parse(status, header::RETRY_AFTER.as_str(), value).backoff
 }
 
 #[test]
-fn a_rest_is_read_from_refusals_only() {
-    assert_eq!(rest(503, b"3"), Some(ms(3_000)));
-    assert_eq!(rest(429, b"3"), Some(ms(3_000)));
+fn only_refusals_carry_a_backoff() {
+    assert_eq!(backoff(503, b"3"), Some(ms(3_000)));
+    assert_eq!(backoff(429, b"3"), Some(ms(3_000)));
     for status in [200, 301, 421, 500, 504] {
-        assert_eq!(rest(status, b"3"), None, "{status}");
+        assert_eq!(backoff(status, b"3"), None, "{status}");
     }
 }
 
 #[test]
-fn fractions_and_damaged_values_of_a_rest_are_bounded() {
+fn invalid_and_extreme_backoff_values_are_bounded() {
     let cases: [(&[u8], Option<Duration>); 14] = [
         (b"0.25", Some(ms(250))),
         (b" 2.5 ", Some(ms(2_500))),
@@ -64,97 +64,97 @@
         (b"\xff\xfe", Some(DEFAULT_BACKOFF)),
     ];
     for (value, expected) in cases {
-        assert_eq!(rest(503, value), expected, "{}", String::from_utf8_lossy(value));
+        assert_eq!(backoff(503, value), expected, "{}", String::from_utf8_lossy(value));
     }
 }
 
 #[test]
-fn leaving_is_read_from_all_answers() {
+fn responses_with_any_status_can_announce_leaving() {
     for status in [200, 404, 500, 503] {
-        assert!(read(status, "leaving", b"1").leaving, "{status}");
+        assert!(parse(status, "leaving", b"1").leaving, "{status}");
     }
     for value in [&b"0"[..], b"", b"yes", b"\xff"] {
-        assert!(!read(200, "leaving", value).leaving);
+        assert!(!parse(200, "leaving", value).leaving);
     }
 }
 
 #[test]
-fn of_rests_at_one_time_the_one_that_ends_last_counts() {
-    let (mut book, now) = (BackoffTable::default(), Instant::now());
-    book.start(UPSTREAM, ms(3_000), now);
-    book.start(UPSTREAM, ms(500), now + ms(100));
-    assert_eq!(book.remaining(UPSTREAM, now + ms(1_000)), Some(ms(2_000)));
-    book.start(UPSTREAM, ms(4_000), now + ms(1_000));
-    assert!(!book.admits(UPSTREAM, now + ms(4_999)));
-    assert!(book.admits(UPSTREAM, now + ms(5_000)));
-    // A short rest after a long one is a short one.
-    book.start(UPSTREAM, ms(200), now + ms(5_000));
-    assert!(book.admits(UPSTREAM, now + ms(5_200)));
-    assert!(book.admits("another", now));
+fn of_overlapping_backoffs_the_one_that_ends_last_applies() {
+    let (mut table, now) = (BackoffTable::default(), Instant::now());
+    table.start(UPSTREAM, ms(3_000), now);
+    table.start(UPSTREAM, ms(500), now + ms(100));
+    assert_eq!(table.remaining(UPSTREAM, now + ms(1_000)), Some(ms(2_000)));
+    table.start(UPSTREAM, ms(4_000), now + ms(1_000));
+    assert!(!table.admits(UPSTREAM, now + ms(4_999)));
+    assert!(table.admits(UPSTREAM, now + ms(5_000)));
+    // A short backoff after the end of a long one stays short.
+    table.start(UPSTREAM, ms(200), now + ms(5_000));
+    assert!(table.admits(UPSTREAM, now + ms(5_200)));
+    assert!(table.admits("another", now));
 }
 
 #[test]
-fn after_a_rest_requests_grow_with_answers() {
-    let (mut book, now) = (BackoffTable::default(), Instant::now());
-    book.start(UPSTREAM, ms(1_000), now);
-    let back = now + ms(1_000);
+fn requests_after_a_backoff_grow_with_responses() {
+    let (mut table, now) = (BackoffTable::default(), Instant::now());
+    table.start(UPSTREAM, ms(1_000), now);
+    let end = now + ms(1_000);
     let take_all =
-        |book: &mut BackoffTable, at| (0..50).filter(|_| book.take(UPSTREAM, at)).count();
-    assert_eq!(take_all(&mut book, back), 1);
-    assert!(!book.opens_in(UPSTREAM, back).is_zero());
-    // An answer to a request of before the rest says nothing.
-    book.record_answer(UPSTREAM, now);
-    assert_eq!(take_all(&mut book, back), 0);
-    book.record_answer(UPSTREAM, back);
-    assert_eq!(take_all(&mut book, back), 2);
-    book.record_answer(UPSTREAM, back);
-    assert_eq!(take_all(&mut book, back), 2);
-    book.record_answer(UPSTREAM, back);
-    book.record_answer(UPSTREAM, back);
-    assert_eq!(take_all(&mut book, back), 50);
-    verify::verify(&book).unwrap();
+        |table: &mut BackoffTable, at| (0..50).filter(|_| table.take(UPSTREAM, at)).count();
+    assert_eq!(take_all(&mut table, end), 1);
+    assert!(!table.opens_in(UPSTREAM, end).is_zero());
+    // A response to a request sent before the backoff ended does not count.
+    table.record_answer(UPSTREAM, now);
+    assert_eq!(take_all(&mut table, end), 0);
+    table.record_answer(UPSTREAM, end);
+    assert_eq!(take_all(&mut table, end), 2);
+    table.record_answer(UPSTREAM, end);
+    assert_eq!(take_all(&mut table, end), 2);
+    table.record_answer(UPSTREAM, end);
+    table.record_answer(UPSTREAM, end);
+    assert_eq!(take_all(&mut table, end), 50);
+    verify::verify(&table).unwrap();
 }
 
 #[test]
-fn an_upstream_that_answers_nothing_after_its_rest_is_tried_again() {
-    let (mut book, now) = (BackoffTable::default(), Instant::now());
-    book.start(UPSTREAM, ms(100), now);
-    assert!(book.take(UPSTREAM, now + ms(100)));
-    assert!(!book.take(UPSTREAM, now + ms(1_000)));
-    assert!(book.take(UPSTREAM, now + ms(1_100)));
-    assert!(!book.take(UPSTREAM, now + ms(1_100)));
+fn an_upstream_that_does_not_respond_after_its_backoff_is_probed_again() {
+    let (mut table, now) = (BackoffTable::default(), Instant::now());
+    table.start(UPSTREAM, ms(100), now);
+    assert!(table.take(UPSTREAM, now + ms(100)));
+    assert!(!table.take(UPSTREAM, now + ms(1_000)));
+    assert!(table.take(UPSTREAM, now + ms(1_100)));
+    assert!(!table.take(UPSTREAM, now + ms(1_100)));
 }
 
-/// Whatever answers come in whatever order, nothing is sent within a rest.
+/// Random sequences of backoffs, requests and responses.
 #[test]
-fn no_request_is_sent_within_a_rest() {
+fn no_request_is_sent_during_a_backoff() {
     arbtest::arbtest(|u: &mut Unstructured<'_>| {
-        let (mut book, start) = (BackoffTable::default(), Instant::now());
+        let (mut table, start) = (BackoffTable::default(), Instant::now());
         let (mut now, mut until, mut sent) = (start, start, Vec::new());
         while !u.is_empty() {
             now += ms(u.int_in_range(0..=400)?);
             match u.int_in_range(0..=2)? {
                 0 => {
-                    let rest = ms(u.int_in_range(1..=2_000)?);
-                    book.start(UPSTREAM, rest, now);
-                    until = until.max(now + rest);
+                    let duration = ms(u.int_in_range(1..=2_000)?);
+                    table.start(UPSTREAM, duration, now);
+                    until = until.max(now + duration);
                     sent.clear();
                 }
                 1 => {
-                    let taken = book.take(UPSTREAM, now);
+                    let taken = table.take(UPSTREAM, now);
                     assert!(!taken || now >= until, "{:?} before the end", until - now);
-                    assert_eq!(book.remaining(UPSTREAM, now).is_some(), now < until);
+                    assert_eq!(table.remaining(UPSTREAM, now).is_some(), now < until);
                     if taken {
                         sent.push(now);
                     }
                 }
                 _ => {
                     if let Some(at) = sent.pop() {
-                        book.record_answer(UPSTREAM, at);
+                        table.record_answer(UPSTREAM, at);
                     }
                 }
             }
-            verify::verify(&book).unwrap();
+            verify::verify(&table).unwrap();
         }
         Ok(())
     });
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_waits_in_line_is_not_sent_to_an_upstream_that_begins_to_rest() {
+fn a_queued_request_is_not_sent_to_an_upstream_in_backoff() {
     let (mut line, signals) = line(&["u"]);
     let now = Instant::now();
     assert!(matches!(line.decide(&want(1), now), Decision::Run(_)));
@@ -200,7 +200,7 @@
     signals.backoffs.borrow_mut().start("u", ms(3_000), now);
     line.give_back("u", &want(1), 0, RunReport::RELEASED, now);
     assert!(line.take_answers().is_empty());
-    // It has waited for as long as it may, and is told when the upstream wants work again.
+    // Its wait limit has passed, and the refusal names the end of the backoff.
     line.tick(now + ms(75));
     let refusal = line.take_answers().remove(0).slot.unwrap_err();
     assert_eq!(refusal.cause, RESTING);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn requests_that_no_upstream_wants_are_refused_on_arrival() {
+fn requests_are_refused_on_arrival_while_all_upstreams_are_in_backoff() {
     let (mut line, signals) = line(&["u", "v"]);
     let now = Instant::now();
     signals.backoffs.borrow_mut().start("u", ms(4_000), now);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn callers_that_are_told_the_same_end_of_a_rest_come_back_at_different_times() {
+fn retry_times_after_the_same_backoff_are_spread() {
     let (mut line, signals) = line(&["u"]);
     let now = Instant::now();
     signals.backoffs.borrow_mut().start("u", ms(2_000), now);
@@ -235,43 +235,44 @@
     assert!(ends[19] - ends[0] > ms(100), "{ends:?}");
 }
 
-/// With no second try left, a request that an upstream turns away again is refused beside others that
-/// have room.
+/// Guards against the refusal of a request that has no retry left: an upstream in slow start may
+/// reject it while others have capacity.
 #[test]
-fn a_request_without_a_second_try_does_not_go_first_after_a_rest() {
+fn a_request_without_retries_avoids_an_upstream_in_slow_start() {
     let now = Instant::now();
     for only_try in [false, true] {
         let (mut line, signals) = line_of(&["u", "v"], 4);
         signals.backoffs.borrow_mut().start("u", ms(100), now);
-        let back = now + ms(100);
+        let end = now + ms(100);
         assert!(matches!(line.decide(&want(1), now), Decision::Run(spec) if spec.name == "v"));
         let second = Want { only_try, ..want(2) };
         let expected = if only_try { "v" } else { "u" };
-        let picked = line.decide(&second, back);
+        let picked = line.decide(&second, end);
         assert!(matches!(&picked, Decision::Run(spec) if spec.name == expected), "{picked:?}");
-        // Where nobody else has room it goes there all the same.
+        // It still goes there if no other upstream has capacity.
         for id in 3..=5 {
-            assert!(matches!(line.decide(&Want { only_try, ..want(id) }, back), Decision::Run(_)));
+            assert!(matches!(line.decide(&Want { only_try, ..want(id) }, end), Decision::Run(_)));
         }
     }
 }
 
-/// A rest binds the box that was asked for it, not the requests of others that it decides on.
+/// A backoff applies to the box that received it, not to requests that it schedules for others.
 #[test]
-fn a_rest_does_not_bind_requests_that_another_box_sends() {
+fn a_backoff_does_not_apply_to_requests_of_other_boxes() {
     let (mut line, signals) = line(&["u"]);
     let now = Instant::now();
     signals.backoffs.borrow_mut().start("u", ms(2_000), now);
-    let of_other = Want { sends_here: false, ..want(1) };
-    assert!(matches!(line.decide(&of_other, now), Decision::Run(_)));
-    // The mark does not travel.
+    let other_box = Want { sends_here: false, ..want(1) };
+    assert!(matches!(line.decide(&other_box, now), Decision::Run(_)));
+    // `sends_here` is not encoded.
     let bytes = rmp_serde::to_vec_named(&want(2)).unwrap();
     assert!(!rmp_serde::from_slice::<Want>(&bytes).unwrap().sends_here);
 }
 
-/// An owner whose engines all asked the sending box for rest would hold its request for nothing.
+/// Guards against a pointless wait at an owner whose engines are all in `avoid`, such as when all
+/// of them requested a backoff from the sending box.
 #[test]
-fn a_request_does_not_wait_where_it_may_not_run() {
+fn a_request_that_avoids_all_runners_is_refused_at_once() {
     let (mut line, _) = line(&["u", "v"]);
     let now = Instant::now();
     let avoids = Want { avoid: vec!["u".to_owned(), "v".to_owned()], ..want(1) };
@@ -282,7 +283,7 @@
 }
 
 #[test]
-fn a_leaver_stays_one_whatever_its_announcements_say_and_whoever_forgets_it() {
+fn a_leaving_upstream_stays_leaving_after_later_announcements() {
     let (mut roster, now) = (Roster::default(), Instant::now());
     let source = "127.0.0.1:9".parse().unwrap();
     let announced = |sequence: u64, version| FollowAnswer {
@@ -307,7 +308,7 @@
     roster.said_leaving("i-1");
     assert!(roster.version() > before);
     assert_eq!((roster.serving().count(), roster.leaving().count()), (0, 1));
-    // It goes on to announce itself, and is forgotten and named again.
+    // It keeps announcing itself, and its record lapses and returns.
     roster.take(source, Detail::Whole, announced(9, 2), now).unwrap();
     assert_eq!(roster.serving().count(), 0);
     let lapsed =
@@ -319,29 +320,29 @@
 }
 
 #[test]
-fn what_an_upstream_that_keeps_its_name_says_of_leaving_holds_for_a_time() {
-    let (mut leavers, now) = (LeavingUpstreams::default(), Instant::now());
-    assert!(leavers.note("u", LEAVING_TTL, now));
-    assert!(!leavers.note("u", LEAVING_TTL, now + ms(1_000)));
-    assert!(leavers.contains("u", now + LEAVING_TTL));
-    assert!(!leavers.contains("u", now + LEAVING_TTL + ms(1_000)));
-    assert!(leavers.note("u", LEAVING_TTL, now + LEAVING_TTL + ms(1_000)));
+fn a_leaving_announcement_expires() {
+    let (mut leaving, now) = (LeavingUpstreams::default(), Instant::now());
+    assert!(leaving.record("u", LEAVING_TTL, now));
+    assert!(!leaving.record("u", LEAVING_TTL, now + ms(1_000)));
+    assert!(leaving.contains("u", now + LEAVING_TTL));
+    assert!(!leaving.contains("u", now + LEAVING_TTL + ms(1_000)));
+    assert!(leaving.record("u", LEAVING_TTL, now + LEAVING_TTL + ms(1_000)));
 }
 
-/// Boxes that pass it on to each other, as others join, would otherwise keep it up for ever.
+/// Guards against notices that never expire because boxes forward them to boxes that join.
 #[test]
-fn that_an_upstream_leaves_does_not_begin_anew_with_each_box_that_hears_of_it() {
+fn forwarding_a_leaving_notice_does_not_extend_it() {
     let now = Instant::now();
-    let mut told = LeavingUpstreams::default();
-    told.note("u", LEAVING_TTL, now);
-    for passed in 1..=5 {
-        let at = now + LEAVING_TTL.mul_f64(0.19) * passed;
-        let news = told.news(at).remove(0);
+    let mut known = LeavingUpstreams::default();
+    known.record("u", LEAVING_TTL, now);
+    for hop in 1..=5 {
+        let at = now + LEAVING_TTL.mul_f64(0.19) * hop;
+        let notice = known.notices(at).remove(0);
         let mut next = LeavingUpstreams::default();
-        assert!(next.note(&news.upstream, news.left, at));
-        told = next;
+        assert!(next.record(&notice.upstream, notice.left, at));
+        known = next;
     }
-    assert!(told.contains("u", now + LEAVING_TTL.mul_f64(0.99)));
-    assert!(!told.contains("u", now + LEAVING_TTL));
-    assert!(!told.note("v", Duration::ZERO, now));
+    assert!(known.contains("u", now + LEAVING_TTL.mul_f64(0.99)));
+    assert!(!known.contains("u", now + LEAVING_TTL));
+    assert!(!known.record("v", Duration::ZERO, now));
 }
