--- a/crates/hatchpitch/src/upstream_limits/messages.rs
+++ b/crates/hatchpitch/src/upstream_limits/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between boxes about the limits of upstreams.
+//! Messages between boxes about rate limits of upstreams.
 
 use std::time::{Duration, Instant};
 
@@ -7,64 +7,69 @@
 use super::observation::{LimitObservation, RateLimit};
 use crate::ids::{Priority, RunnerName};
 
-/// What was heard of a limit, by its age: clocks of boxes differ.
+/// A [`LimitObservation`] with ages instead of times, because the clocks of boxes differ.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AgedObservation {
-    /// The limit; `None` if the upstream named none.
+    /// The limit; `None` if the upstream set none.
     pub limit: Option<RateLimit>,
-    /// Time since the request was sent whose answer told it.
+    /// Time since the request was sent.
     pub sent: Duration,
-    /// Time since the head of the answer arrived.
+    /// Time since the head of the response arrived.
     pub arrived: Duration,
 }
 
 impl AgedObservation {
-    /// Tells of something that was heard here.
-    pub fn new(heard: &LimitObservation, now: Instant) -> Self {
+    /// Converts an observation of this box.
+    pub fn new(observed: &LimitObservation, now: Instant) -> Self {
         Self {
-            limit: heard.limit,
-            sent: now.saturating_duration_since(heard.sent),
-            arrived: now.saturating_duration_since(heard.at),
+            limit: observed.limit,
+            sent: now.saturating_duration_since(observed.sent),
+            arrived: now.saturating_duration_since(observed.received),
         }
     }
 
-    /// Returns what was heard, by the clock of this box.
-    pub fn at(&self, now: Instant) -> LimitObservation {
+    /// Converts to an observation by the clock of this box.
+    pub fn to_local(&self, now: Instant) -> LimitObservation {
         let before = |ago: Duration| now.checked_sub(ago).unwrap_or(now);
-        LimitObservation { limit: self.limit, sent: before(self.sent), at: before(self.arrived) }
+        LimitObservation {
+            limit: self.limit,
+            sent: before(self.sent),
+            received: before(self.arrived),
+        }
     }
 }
 
-/// Tells that an upstream names a limit.
+/// Tells another box the limit of an upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitNotice {
     /// The upstream.
     pub upstream: RunnerName,
-    /// What was heard.
+    /// The observed limit.
     pub heard: AgedObservation,
 }
 
-/// How much a permit is needed.
+/// Whether a permit may be taken in advance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitKind {
-    /// For a request that goes elsewhere, or comes back, if there is none.
+    /// For a request that goes to another upstream, or is retried, if no permit is available.
     Request,
-    /// For what can't be held back; it may be taken in advance.
+    /// For something that cannot be delayed; the permit may be taken in advance.
     InAdvance,
 }
 
-/// Asks for the permit to send one request to an upstream.
+/// Requests a permit to send one request to an upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// The upstream.
     pub upstream: RunnerName,
-    /// Tells the asking box from others, mostly.
+    /// Hash of the name of the requesting box; a collision only shortens
+    /// the spread of retries.
     pub asker: u64,
     /// Priority of the request.
     pub priority: Priority,
-    /// How much it is needed.
+    /// Whether the permit may be taken in advance.
     pub kind: PermitKind,
-    /// What the asker knows of the limit.
+    /// The limit as the requesting box observed it.
     pub known: AgedObservation,
 }
 
@@ -73,15 +78,15 @@
 pub enum PermitAnswer {
     /// The request may be sent now.
     Granted,
-    /// It may not.
+    /// The request may not be sent.
     Denied {
-        /// Time until there is a permit for its priority.
+        /// Time until a permit is available for its priority.
         opens_in: Duration,
-        /// Time beyond that over which boxes should ask again.
+        /// Time beyond `opens_in` over which boxes should spread their retries.
         spread: Duration,
     },
-    /// The upstream names no limit any more.
+    /// The upstream has no limit any more.
     Unlimited(AgedObservation),
-    /// Another box gives out the permits.
+    /// Another box is the decider.
     NotDecider,
 }
--- a/crates/hatchpitch/src/upstream_limits/mod.rs
+++ b/crates/hatchpitch/src/upstream_limits/mod.rs
@@ -1,7 +1,8 @@
-//! Limits that upstreams name in their answers, in requests a second from all boxes together.
+//! Rate limits that upstreams set in their responses, in requests a second from all boxes together.
 //!
-//! One box gives out the permits of an upstream; every way on which something is sent to it takes
-//! one first. What an answer says travels to all boxes, because each of them sends there.
+//! For each upstream one box, the decider, grants permits. Every code path that sends something to
+//! the upstream takes a permit first. Changes of a limit are sent to all boxes, because any of them
+//! may send requests to the upstream.
 
 pub mod bucket;
 pub mod messages;
--- a/crates/hatchpitch/src/upstream_limits/observation.rs
+++ b/crates/hatchpitch/src/upstream_limits/observation.rs
@@ -1,8 +1,8 @@
-//! What an answer says about its upstream's limit, and which of two answers counts.
+//! Observations of rate limits in responses, and which of two observations takes precedence.
 //!
-//! Answers overtake each other on the way to different boxes, and a box that was suspended reads
-//! old ones late. When an upstream said something is therefore known only to lie between the
-//! sending of the request and the arrival of the answer's head.
+//! Responses to different boxes arrive out of order, and a box that was suspended reads old ones
+//! late. The time at which the upstream set the limit is therefore only known to lie between the
+//! sending of the request and the arrival of the response head.
 
 use std::fmt;
 use std::time::Instant;
@@ -10,13 +10,13 @@
 use http::HeaderMap;
 use serde::{Deserialize, Serialize};
 
-/// Requests a second that an upstream takes from all boxes together; finite and not negative.
+/// Rate limit for all boxes together, in requests a second; finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// Returns requests a second.
+    /// Returns the limit in requests a second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -45,19 +45,19 @@
     }
 }
 
-/// What the head of one answer says about a limit.
+/// Limit signal in the head of one response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitSignal {
-    /// The upstream names a limit.
+    /// The upstream sets a limit.
     Limit(RateLimit),
-    /// The upstream names none.
+    /// The upstream sets no limit.
     NoLimit,
-    /// The head does not tell: it is damaged, or none of this upstream's whole answers.
+    /// The value is invalid, or the head is not that of a complete response of this upstream.
     Unknown,
 }
 
 impl LimitSignal {
-    /// Reads the header `name` of a head.
+    /// Parses the header `name`.
     pub fn read(headers: &HeaderMap, name: &str) -> Self {
         let Some(value) = headers.get(name) else { return Self::NoLimit };
         let text = value.to_str().unwrap_or("").trim();
@@ -65,42 +65,44 @@
         match number.and_then(RateLimit::try_from) {
             Ok(limit) => Self::Limit(limit),
             Err(err) => {
-                log::debug!(header = name; "limit of an upstream not read: {err}");
+                log::debug!(header = name; "invalid rate limit of an upstream: {err}");
                 Self::Unknown
             }
         }
     }
 
-    /// Returns what counts of an answer that is none of success. An upstream that turns a request
-    /// away, or fails it, may do so before it comes to name a limit.
+    /// Returns the signal that applies if the response is not a success. An upstream may reject or
+    /// fail a request before it adds its limit, so a missing limit means nothing there.
     pub fn for_refusal(self) -> Self {
         if self == Self::NoLimit { Self::Unknown } else { self }
     }
 }
 
-/// What was heard of an upstream's limit, and when.
+/// An observed limit of an upstream, and when it was observed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitObservation {
-    /// The limit; `None` if it named none.
+    /// The limit; `None` if the upstream set none.
     pub limit: Option<RateLimit>,
-    /// When the request was sent whose answer told it.
+    /// When the request was sent.
     pub sent: Instant,
-    /// When the head of the answer arrived.
-    pub at: Instant,
+    /// When the head of the response arrived.
+    pub received: Instant,
 }
 
 impl LimitObservation {
-    /// Returns whether this takes the place of `known`. Of two whose times overlap the stricter one
-    /// holds, so that an answer of before a limit never ends it; the next answer settles it.
+    /// Returns whether this observation replaces `known`. If their times overlap, the stricter limit
+    /// wins, so that a response from before a limit was set never ends it. The next response resolves
+    /// the ambiguity.
     pub fn supersedes(&self, known: &Self) -> bool {
-        if self.sent >= known.at {
+        if self.sent >= known.received {
             return true;
         }
-        if known.sent >= self.at {
+        if known.sent >= self.received {
             return false;
         }
-        let per_second = |heard: &Self| heard.limit.map_or(f64::INFINITY, RateLimit::per_second);
+        let per_second =
+            |observed: &Self| observed.limit.map_or(f64::INFINITY, RateLimit::per_second);
         let (own, other) = (per_second(self), per_second(known));
-        own < other || (own == other && self.at > known.at)
+        own < other || (own == other && self.received > known.received)
     }
 }
--- a/crates/hatchpitch/src/upstream_limits/verify.rs
+++ b/crates/hatchpitch/src/upstream_limits/verify.rs
@@ -1,29 +1,29 @@
-//! Checks what must hold in a [`LimitTable`].
+//! Checks the invariants of a [`LimitTable`].
 
 use super::table::{LimitTable, Permits};
 
-/// Checks a book.
+/// Checks a table.
 ///
 /// # Errors
 ///
-/// Returns what does not hold.
-pub fn verify(book: &LimitTable) -> Result<(), String> {
-    let limited = book.entries.values().filter(|entry| entry.heard.limit.is_some()).count();
-    if limited != book.limited {
-        return Err(format!("{limited} upstreams name limits, {} are counted", book.limited));
+/// Returns the first violated invariant.
+pub fn verify(table: &LimitTable) -> Result<(), String> {
+    let limited = table.entries.values().filter(|entry| entry.observed.limit.is_some()).count();
+    if limited != table.limited {
+        return Err(format!("{limited} upstreams name limits, {} are counted", table.limited));
     }
-    for (upstream, entry) in &book.entries {
-        if entry.heard.sent > entry.heard.at {
+    for (upstream, entry) in &table.entries {
+        if entry.observed.sent > entry.observed.received {
             return Err(format!("{upstream}: answered before it was asked"));
         }
         let bucket = match &entry.permits {
-            Permits::Here(bucket) | Permits::Silent(bucket, _) => bucket,
-            Permits::Elsewhere(_) => continue,
+            Permits::Local(bucket) | Permits::Unreachable(bucket, _) => bucket,
+            Permits::Remote(_) => continue,
         };
-        if bucket.level > bucket.cap {
-            return Err(format!("{upstream}: {} permits of {}", bucket.level, bucket.cap));
+        if bucket.level > bucket.capacity {
+            return Err(format!("{upstream}: {} permits of {}", bucket.level, bucket.capacity));
         }
-        if bucket.level < -bucket.most_in_advance() {
+        if bucket.level < -bucket.max_debt() {
             return Err(format!("{upstream}: {} permits taken in advance", -bucket.level));
         }
     }
--- a/crates/hatchpitch/tests/upstream_limits/fleet.rs
+++ b/crates/hatchpitch/tests/upstream_limits/fleet.rs
@@ -1,5 +1,5 @@
-//! Replays requests of many boxes to one upstream against their books of limits, without sockets:
-//! messages between boxes and to the upstream take time, boxes come, go, fall silent and wake.
+//! Simulates boxes that send requests to one upstream under their tables of limits, without sockets.
+//! Messages take time, and boxes can start, die, freeze and lose contact with each other.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -18,64 +18,65 @@
 
 /// The upstream.
 pub const UPSTREAM: &str = "u";
-/// Time from one box to another, from a box to the upstream, and of its work.
+/// Latency between boxes and between a box and the upstream, in ms.
 const HOP_MS: u64 = 1;
+/// Time that the upstream takes for a request, in ms.
 const WORK_MS: u64 = 30;
-/// Time until news have reached all boxes in reach.
-const NEWS_MS: u64 = 30;
-/// Time after which an answer of the decider is waited for no more.
-const PATIENCE_MS: u64 = 150;
+/// Time until a notice has reached all reachable boxes, in ms.
+const NOTICE_MS: u64 = 30;
+/// Timeout of a permit request, in ms.
+const PERMIT_TIMEOUT_MS: u64 = 150;
 
-/// What a message says when it arrives.
+/// Payload of a simulated message or timer.
 #[derive(Debug, Clone)]
 enum Message {
     Ask { from: usize, req: PermitRequest },
     Reply { priority: Priority, answer: PermitAnswer },
-    Unanswered,
+    PermitTimeout,
     Head { limit: Option<f64>, sent: u64 },
-    News(AgedObservation),
+    Notice(AgedObservation),
 }
 
 #[derive(Debug)]
-struct Due {
-    at: u64,
-    number: u64,
+struct Event {
+    at_ms: u64,
+    sequence: u64,
     to: usize,
     message: Message,
 }
 
-impl PartialEq for Due {
+impl PartialEq for Event {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Due {}
+impl Eq for Event {}
 
-impl PartialOrd for Due {
+impl PartialOrd for Event {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for Event {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at_ms, self.sequence).cmp(&(other.at_ms, other.sequence))
     }
 }
 
 struct SimBox {
-    book: LimitTable,
-    /// Boxes that it takes to serve.
+    table: LimitTable,
+    /// Boxes that it considers to be serving.
     view: BTreeSet<usize>,
-    /// Boxes that it lost of late.
+    /// Number of boxes that it lost.
     lost: usize,
-    /// Until when it stands still.
+    /// Simulated time until which it is suspended, in ms.
     frozen_until: u64,
     is_up: bool,
 }
 
-/// What a request was that reached the upstream.
+/// A request that reached the upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     pub at_ms: u64,
@@ -84,18 +85,18 @@
 
 pub struct Fleet {
     boxes: Vec<SimBox>,
-    due: BinaryHeap<Reverse<Due>>,
-    count: u64,
+    events: BinaryHeap<Reverse<Event>>,
+    sequence: u64,
     start: Instant,
     pub ms: u64,
-    /// What the upstream names.
+    /// Limit that the upstream sets.
     pub limit: Option<f64>,
     pub arrivals: Vec<Arrival>,
     pub refused: Vec<(u64, Priority, Duration)>,
-    /// Questions for permits.
-    pub asked: usize,
-    /// Pairs of boxes that do not reach each other.
-    cut: BTreeSet<(usize, usize)>,
+    /// Number of permit requests.
+    pub permit_requests: usize,
+    /// Pairs of boxes that cannot reach each other.
+    partitioned: BTreeSet<(usize, usize)>,
     rng: SmallRng,
 }
 
@@ -107,7 +108,7 @@
     pub fn new(boxes: usize, seed: u64) -> Self {
         let all: BTreeSet<usize> = (0..boxes).collect();
         let new = |_| SimBox {
-            book: LimitTable::default(),
+            table: LimitTable::default(),
             view: all.clone(),
             lost: 0,
             frozen_until: 0,
@@ -115,15 +116,15 @@
         };
         Self {
             boxes: (0..boxes).map(new).collect(),
-            due: BinaryHeap::new(),
-            count: 0,
+            events: BinaryHeap::new(),
+            sequence: 0,
             start: Instant::now(),
             ms: 0,
             limit: None,
             arrivals: Vec::new(),
             refused: Vec::new(),
-            asked: 0,
-            cut: BTreeSet::new(),
+            permit_requests: 0,
+            partitioned: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -133,23 +134,24 @@
     }
 
     fn post(&mut self, after: u64, to: usize, message: Message) {
-        self.count += 1;
-        let due = Due { at: self.ms + after, number: self.count, to, message };
-        self.due.push(Reverse(due));
+        self.sequence += 1;
+        let event = Event { at_ms: self.ms + after, sequence: self.sequence, to, message };
+        self.events.push(Reverse(event));
     }
 
     fn reaches(&self, a: usize, b: usize) -> bool {
-        self.boxes[b].is_up && !self.cut.contains(&(a.min(b), a.max(b)))
+        self.boxes[b].is_up && !self.partitioned.contains(&(a.min(b), a.max(b)))
     }
 
-    /// Plays `time`, in which each box gets requests at its rate a second, of these priorities.
-    pub fn play(&mut self, time: Duration, loads: &[(f64, Priority)]) {
+    /// Runs the simulation for `time`. Each load gives the requests a second and their priority for
+    /// one box.
+    pub fn run(&mut self, time: Duration, loads: &[(f64, Priority)]) {
         let end = self.ms + u64::try_from(time.as_millis()).unwrap();
         while self.ms < end {
             self.ms += 1;
-            while self.due.peek().is_some_and(|Reverse(due)| due.at <= self.ms) {
-                let Reverse(due) = self.due.pop().unwrap();
-                self.deliver(due);
+            while self.events.peek().is_some_and(|Reverse(event)| event.at_ms <= self.ms) {
+                let Reverse(event) = self.events.pop().unwrap();
+                self.deliver(event);
             }
             for (at, (per_second, priority)) in loads.iter().enumerate() {
                 let at = at % self.boxes.len();
@@ -158,8 +160,8 @@
                 }
             }
         }
-        for member in &self.boxes {
-            verify(&member.book).unwrap();
+        for sim_box in &self.boxes {
+            verify(&sim_box.table).unwrap();
         }
     }
 
@@ -168,29 +170,29 @@
         if self.boxes[at].frozen_until > self.ms {
             return;
         }
-        match self.boxes[at].book.take(UPSTREAM, priority, now) {
-            Acquired::Free | Acquired::Granted => self.send(at, priority),
+        match self.boxes[at].table.take(UPSTREAM, priority, now) {
+            Acquired::Unlimited | Acquired::Granted => self.send(at, priority),
             Acquired::Denied(wait) => self.refused.push((self.ms, priority, wait)),
-            Acquired::Ask => self.ask(at, priority),
+            Acquired::AskDecider => self.ask(at, priority),
         }
     }
 
     fn ask(&mut self, at: usize, priority: Priority) {
         let now = self.now();
-        let book = &mut self.boxes[at].book;
-        book.asking(UPSTREAM, now);
-        let Some(decider) = book.asks_at(UPSTREAM, now) else { return };
+        let table = &mut self.boxes[at].table;
+        table.record_asking(UPSTREAM, now);
+        let Some(decider) = table.decider_to_ask(UPSTREAM, now) else { return };
         let SocketAddr::V4(decider) = decider else { unreachable!("boxes have IPv4 addresses") };
         let to = usize::from(decider.ip().octets()[3]);
-        let known = AgedObservation::new(book.heard(UPSTREAM).unwrap(), now);
+        let known = AgedObservation::new(table.observed(UPSTREAM).unwrap(), now);
         let upstream = UPSTREAM.to_owned();
-        self.asked += 1;
+        self.permit_requests += 1;
         let asker = at as u64;
         let req = PermitRequest { upstream, asker, priority, kind: PermitKind::Request, known };
         if self.reaches(at, to) && self.boxes[to].frozen_until <= self.ms {
             self.post(HOP_MS, to, Message::Ask { from: at, req });
         } else {
-            self.post(PATIENCE_MS, at, Message::Unanswered);
+            self.post(PERMIT_TIMEOUT_MS, at, Message::PermitTimeout);
         }
     }
 
@@ -200,11 +202,11 @@
         self.post(2 * HOP_MS + WORK_MS, from, message);
     }
 
-    fn deliver(&mut self, due: Due) {
-        let Due { to, message, .. } = due;
+    fn deliver(&mut self, event: Event) {
+        let Event { to, message, .. } = event;
         let frozen_until = self.boxes[to].frozen_until;
         if frozen_until > self.ms {
-            // It reads what came meanwhile when it wakes.
+            // A suspended box processes messages when it resumes.
             return self.post(frozen_until - self.ms, to, message);
         }
         if !self.boxes[to].is_up {
@@ -213,8 +215,8 @@
         let now = self.now();
         match message {
             Message::Ask { from, req } => {
-                self.hear(to, req.known.at(now));
-                let answer = self.boxes[to].book.answer(&req, now);
+                self.observe(to, req.known.to_local(now));
+                let answer = self.boxes[to].table.answer(&req, now);
                 let reply = Message::Reply { priority: req.priority, answer };
                 if self.reaches(to, from) {
                     self.post(HOP_MS, from, reply);
@@ -222,75 +224,75 @@
             }
             Message::Reply { priority, answer } => {
                 let draw = self.rng.random::<f64>();
-                match self.boxes[to].book.answered(UPSTREAM, priority, answer, draw, now) {
+                match self.boxes[to].table.apply_answer(UPSTREAM, priority, answer, draw, now) {
                     Ok(()) => self.send(to, priority),
                     Err(wait) => self.refused.push((self.ms, priority, wait)),
                 }
             }
-            Message::Unanswered => {
+            Message::PermitTimeout => {
                 let boxes = self.boxes[to].view.len();
-                self.boxes[to].book.unanswered(UPSTREAM, boxes, now);
+                self.boxes[to].table.record_no_answer(UPSTREAM, boxes, now);
             }
             Message::Head { limit, sent } => {
                 let limit = limit.map(|limit| RateLimit::try_from(limit).unwrap());
                 let sent = self.start + Duration::from_millis(sent);
-                self.hear(to, LimitObservation { limit, sent, at: now });
+                self.observe(to, LimitObservation { limit, sent, received: now });
             }
-            Message::News(heard) => self.hear(to, heard.at(now)),
+            Message::Notice(observed) => self.observe(to, observed.to_local(now)),
         }
     }
 
-    fn hear(&mut self, at: usize, heard: LimitObservation) {
+    fn observe(&mut self, at: usize, observed: LimitObservation) {
         let now = self.now();
-        let Some(change) = self.boxes[at].book.hear(UPSTREAM, heard, now) else { return };
-        self.place(at);
-        if !change.is_news() {
+        let Some(change) = self.boxes[at].table.observe(UPSTREAM, observed, now) else { return };
+        self.update_decider(at);
+        if !change.needs_broadcast() {
             return;
         }
-        let news = AgedObservation::new(self.boxes[at].book.heard(UPSTREAM).unwrap(), now);
+        let notice = AgedObservation::new(self.boxes[at].table.observed(UPSTREAM).unwrap(), now);
         for other in 0..self.boxes.len() {
             if other != at && self.reaches(at, other) {
-                self.post(NEWS_MS, other, Message::News(news));
+                self.post(NOTICE_MS, other, Message::Notice(notice));
             }
         }
     }
 
-    /// The first box that serves decides.
-    fn place(&mut self, at: usize) {
+    /// Makes the first serving box of the view of `at` its decider.
+    fn update_decider(&mut self, at: usize) {
         let now = self.now();
-        let member = &mut self.boxes[at];
-        let first = *member.view.first().unwrap();
-        let part = member.view.len() as f64 / (member.view.len() + member.lost) as f64;
-        let decider = Decider { addr: addr(first), is_own: first == at, part };
-        member.book.set_decider(UPSTREAM, decider, now);
+        let sim_box = &mut self.boxes[at];
+        let first = *sim_box.view.first().unwrap();
+        let share = sim_box.view.len() as f64 / (sim_box.view.len() + sim_box.lost) as f64;
+        let decider = Decider { addr: addr(first), is_own: first == at, share };
+        sim_box.table.set_decider(UPSTREAM, decider, now);
     }
 
-    /// Has a box take others for lost.
+    /// Makes a box consider others as lost.
     pub fn lose(&mut self, at: usize, others: impl IntoIterator<Item = usize>) {
         for other in others {
             if self.boxes[at].view.remove(&other) {
                 self.boxes[at].lost += 1;
             }
         }
-        self.place(at);
+        self.update_decider(at);
     }
 
-    /// Has all boxes see all others again.
+    /// Restores the contact between all running boxes.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
         let up: BTreeSet<usize> =
             (0..self.boxes.len()).filter(|at| self.boxes[*at].is_up).collect();
         for at in up.clone() {
             self.boxes[at].view.clone_from(&up);
             self.boxes[at].lost = 0;
-            self.place(at);
+            self.update_decider(at);
         }
     }
 
-    /// Cuts the boxes below `at` off from the others.
-    pub fn cut_at(&mut self, at: usize) {
+    /// Partitions the boxes below `at` from the others.
+    pub fn partition_at(&mut self, at: usize) {
         let pairs = (0..at).flat_map(|a| (at..self.boxes.len()).map(move |b| (a, b)));
-        self.cut = pairs.collect();
+        self.partitioned = pairs.collect();
     }
 
     pub fn freeze(&mut self, at: usize, time: Duration) {
@@ -299,16 +301,16 @@
 
     pub fn kill(&mut self, at: usize) {
         self.boxes[at].is_up = false;
-        self.boxes[at].book = LimitTable::default();
+        self.boxes[at].table = LimitTable::default();
     }
 
-    /// Starts a box that was killed; the others know of it at once, or see it as before.
+    /// Starts a box that was killed. The views of the others do not change.
     pub fn restart(&mut self, at: usize) {
         self.boxes[at].is_up = true;
     }
 
-    /// Returns the most requests within `window` from `since` on, and the least within any.
-    pub fn within(&self, window: Duration, since: u64) -> (usize, usize) {
+    /// Returns the highest and the lowest number of requests in any window from `since` on.
+    pub fn window_extremes(&self, window: Duration, since: u64) -> (usize, usize) {
         let window = u64::try_from(window.as_millis()).unwrap();
         let after = |from: u64| {
             let inside = |a: &&Arrival| (from..from + window).contains(&a.at_ms);
