--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -95,11 +95,11 @@
     /// Returns whether the engine still accepts work from this box, i.e. whether it has not asked
     /// this box to rest.
     fn runner_accepts(&self) -> bool {
-        let (mut rests, now) = (self.cx.rests.borrow_mut(), clock::now());
+        let (mut rests, now) = (self.cx.backoffs.borrow_mut(), clock::now());
         match &self.source {
             // Local admission has already counted this request against the few that may be sent
             // to an upstream right after its rest.
-            GrantSource::Local(_) => rests.left(&self.runner, now).is_none(),
+            GrantSource::Local(_) => rests.remaining(&self.runner, now).is_none(),
             GrantSource::Owner => rests.take(&self.runner, now),
         }
     }
@@ -205,12 +205,12 @@
 /// Returns the time until the first eligible engine accepts work from this box, or `None` if one
 /// accepts it now, or if no engine is eligible.
 fn time_until_accepting(cx: &EntryCx, pool: &str, want: &SlotRequest) -> Option<Duration> {
-    if cx.rests.borrow().is_empty() {
+    if cx.backoffs.borrow().is_empty() {
         return None;
     }
     let (view, now) = (cx.sync_gates(), clock::now());
     let pool = view.pools.iter().find(|p| p.pool.name == pool)?;
-    let rests = cx.rests.borrow();
+    let rests = cx.backoffs.borrow();
     let eligible = pool.runners.iter().filter(|runner| {
         want.may_run_at(&runner.name, &runner.failure_domain) && cx.upstream_serves(&runner.name)
     });
@@ -383,8 +383,8 @@
     /// rest.
     fn remote_want(&self) -> SlotRequest {
         let mut want = self.want.clone();
-        let rests = self.cx.rests.borrow();
-        want.avoid.extend(rests.closed(clock::now()).take(MAX_EXCLUDED_RESTING).cloned());
+        let rests = self.cx.backoffs.borrow();
+        want.avoid.extend(rests.blocked(clock::now()).take(MAX_EXCLUDED_RESTING).cloned());
         want
     }
 
