--- a/crates/hatchpitch/src/moves/task.rs
+++ b/crates/hatchpitch/src/moves/task.rs
@@ -50,7 +50,7 @@
     }
 
     /// Polls the owner until the move has its turn. Returns whether the move may proceed, which it
-    /// also may after [`MAX_FAILURES`] calls to the owner have failed.
+    /// also may after `MAX_FAILURES` calls to the owner have failed.
     pub async fn wait(&self) -> bool {
         let started = clock::now();
         let mut failures = 0;
--- a/crates/hatchpitch/src/upstream_signals/notices.rs
+++ b/crates/hatchpitch/src/upstream_signals/notices.rs
@@ -57,7 +57,7 @@
     .detach();
 }
 
-/// Sends notices to a box, in batches of at most [`MAX_NOTICES`], without waiting for replies.
+/// Sends notices to a box, in batches of at most `MAX_NOTICES`, without waiting for replies.
 pub fn send<T>(cx: &EntryCx, peer: SocketAddr, path: &'static str, notices: &[T])
 where
     T: Serialize + Clone + 'static,
