--- a/crates/hatchpitch/src/control/boxes.rs
+++ b/crates/hatchpitch/src/control/boxes.rs
@@ -26,8 +26,8 @@
 use crate::registry::{FollowRequest, RegistryNews};
 use crate::replication::bootstrap::{HELLO_PATH, Hello};
 use crate::replication::messages::{Envelope, LogBatch};
-use crate::replication::restart::answer_for_former;
-use crate::replication::task::{LOG_PATH, SEND_LIMIT};
+use crate::replication::restart::answer_for_former_identity;
+use crate::replication::task::{LOG_PATH, SEND_TIMEOUT};
 use crate::replication::transfer::{LogPart, PART_PATH};
 
 type Answered = Result<Response<Body>, Box<Response<Body>>>;
@@ -132,7 +132,7 @@
     fn receive(&self, batch: LogBatch) {
         let own = self.cx.id;
         for asked in batch.envelopes.iter().filter(|e| e.to != own) {
-            if let Some(answer) = answer_for_former(asked) {
+            if let Some(answer) = answer_for_former_identity(asked) {
                 self.send_log(batch.reply_to, answer);
             }
         }
@@ -152,7 +152,7 @@
         let (client, reply_to) = (self.cx.boxes.clone(), self.cx.settings.own.boxes_addr);
         let batch = LogBatch { reply_to, envelopes: vec![envelope] };
         compio::runtime::spawn(async move {
-            if let Err(err) = client.call::<_, ()>(to, LOG_PATH, &batch, SEND_LIMIT).await {
+            if let Err(err) = client.call::<_, ()>(to, LOG_PATH, &batch, SEND_TIMEOUT).await {
                 log::debug!("answer for a former identity: {err}");
             }
         })
--- a/crates/hatchpitch/src/control/context.rs
+++ b/crates/hatchpitch/src/control/context.rs
@@ -19,7 +19,7 @@
 use crate::registry::{RegistryCell, RegistryNews, Table};
 use crate::replication::bootstrap::Hello;
 use crate::replication::task::{Applier, ProposeFailure, ReplicaHandle};
-use crate::replication::transfer::Assembly;
+use crate::replication::transfer::Reassembler;
 use crate::replication::{Members, NodeId, Peer};
 use crate::settings::ControlSettings;
 
@@ -74,7 +74,7 @@
     /// News about upstreams that wait to be passed on.
     pub outbox: Rc<Outbox>,
     /// Large messages of the log that arrive in parts.
-    pub log_parts: RefCell<Assembly>,
+    pub log_parts: RefCell<Reassembler>,
     /// What a box that takes part told last; only kept by a box without a disk.
     core: RefCell<Option<Hello>>,
     /// Control boxes that were heard of.
--- a/crates/hatchpitch/src/control/daemon.rs
+++ b/crates/hatchpitch/src/control/daemon.rs
@@ -19,7 +19,7 @@
 use crate::logging::unix_ms;
 use crate::pressure;
 use crate::registry::peers;
-use crate::replication::bootstrap::Begun;
+use crate::replication::bootstrap::BootstrapOutcome;
 use crate::replication::disk::Disk;
 use crate::replication::{NodeId, Storage, bootstrap, task};
 use crate::settings::ControlSettings;
@@ -123,9 +123,9 @@
     if !Storage::has_log(&disk)? {
         let begun = match cx.settings.bootstrap {
             true => bootstrap::bootstrap(&disk, &cx.hello(), &cx.settings.peers, &cx.boxes).await?,
-            false => Begun::Elsewhere,
+            false => BootstrapOutcome::NotMember,
         };
-        if begun == Begun::Elsewhere {
+        if begun == BootstrapOutcome::NotMember {
             log::info!("no log here; asks for a place in the one that goes on");
             joined(cx, &disk).await?;
         }
--- a/crates/hatchpitch/src/control/join.rs
+++ b/crates/hatchpitch/src/control/join.rs
@@ -16,7 +16,7 @@
 use super::context::ControlCx;
 use super::repair::{self, RepairError};
 use crate::replication::bootstrap::as_peer;
-use crate::replication::change::MemberChange;
+use crate::replication::membership::MemberChange;
 use crate::replication::task::ReplicaHandle;
 use crate::replication::{Members, NodeId, Peer};
 
@@ -84,8 +84,10 @@
         let change = MemberChange::AddLearner(req.id, req.peer.clone());
         repair::step(log, "add", &change).await?;
     }
-    repair::wait(log, "catch up", |log| log.with(|replica| replica.lacks(req.id)) == Some(0))
-        .await?;
+    repair::wait(log, "catch up", |log| {
+        log.with(|replica| replica.replication_lag(req.id)) == Some(0)
+    })
+    .await?;
     repair::step(log, "promote", &MemberChange::Promote(req.id)).await?;
     for old in repair::others_named(&members(), &req.peer.name, req.id) {
         repair::step(log, "remove", &MemberChange::Remove(old)).await?;
--- a/crates/hatchpitch/src/control/repair.rs
+++ b/crates/hatchpitch/src/control/repair.rs
@@ -14,7 +14,7 @@
 use super::context::ControlCx;
 use crate::ids::BoxName;
 use crate::replication::bootstrap;
-use crate::replication::change::{ChangeError, MemberChange};
+use crate::replication::membership::{ChangeError, MemberChange};
 use crate::replication::task::ReplicaHandle;
 use crate::replication::{Members, NodeId, Peer};
 
@@ -69,7 +69,7 @@
         let peer = Peer { name: name.to_owned(), ..peer };
         step(log, "add", &MemberChange::AddLearner(id, peer)).await?;
     }
-    wait(log, "catch up", |log| log.with(|replica| replica.lacks(id)) == Some(0)).await?;
+    wait(log, "catch up", |log| log.with(|replica| replica.replication_lag(id)) == Some(0)).await?;
     if log.with(|replica| replica.members().learners.contains_key(&id)) {
         step(log, "promote", &MemberChange::Promote(id)).await?;
     }
@@ -77,7 +77,7 @@
         step(log, "remove", &MemberChange::Remove(old)).await?;
     }
     wait(log, "confirm", |log| {
-        log.with(|replica| replica.members_committed() && replica.lacks(id) == Some(0))
+        log.with(|replica| replica.members_committed() && replica.replication_lag(id) == Some(0))
     })
     .await?;
     let voters = log.with(|replica| replica.members().voters.clone());
@@ -106,7 +106,7 @@
 ) -> Result<(), RepairError> {
     let started = clock::now();
     loop {
-        match log.change(change.clone()).await {
+        match log.change_members(change.clone()).await {
             Ok(()) => break,
             Err(ChangeError::Busy | ChangeError::Behind) if clock::since(started) < STEP_LIMIT => {
                 compio::time::sleep(POLL).await;
--- a/crates/hatchpitch/src/replication/bootstrap.rs
+++ b/crates/hatchpitch/src/replication/bootstrap.rs
@@ -57,11 +57,11 @@
 
 /// Where the log is that a box asked for at its first start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Begun {
+pub enum BootstrapOutcome {
     /// It begins, or began, with this box, whose disk now holds its members.
-    Here,
+    Member,
     /// It goes on without this identity, which has to be let in.
-    Elsewhere,
+    NotMember,
 }
 
 /// Returns this disk's identity, making one at the first start.
@@ -111,16 +111,16 @@
     own: &Hello,
     peers: &[ControlPeer],
     client: &BoxClient,
-) -> Result<Begun, StorageError> {
+) -> Result<BootstrapOutcome, StorageError> {
     let mut rounds = 0_u32;
     loop {
         let answers = introductions(own, peers, client).await;
         match decide(own.id, peers, &answers) {
             Introduced::Begin(members) => {
                 Storage::create(disk, members)?;
-                return Ok(Begun::Here);
+                return Ok(BootstrapOutcome::Member);
             }
-            Introduced::Outside => return Ok(Begun::Elsewhere),
+            Introduced::Outside => return Ok(BootstrapOutcome::NotMember),
             state @ Introduced::Wait if rounds.is_multiple_of(NOTE_EVERY) => {
                 log::warn!(
                     "no log here yet: {state:?}; {} of {} peers answered",
--- a/crates/hatchpitch/src/replication/change.rs
+++ b/crates/hatchpitch/src/replication/membership.rs
@@ -48,7 +48,11 @@
     /// # Errors
     ///
     /// Returns a [`ChangeError`]; nothing was begun then.
-    pub fn change(&mut self, change: &MemberChange, now: Instant) -> Result<(), ChangeError> {
+    pub fn change_members(
+        &mut self,
+        change: &MemberChange,
+        now: Instant,
+    ) -> Result<(), ChangeError> {
         let Role::Leader(leadership) = &self.role else { return Err(ChangeError::NotLeader) };
         if self.members_index > self.commit || self.commit < leadership.first_index {
             return Err(ChangeError::Busy);
@@ -61,7 +65,7 @@
     }
 
     /// Returns how many committed entries a replica lacks, as far as this leader knows.
-    pub fn lacks(&self, id: NodeId) -> Option<u64> {
+    pub fn replication_lag(&self, id: NodeId) -> Option<u64> {
         let Role::Leader(leadership) = &self.role else { return None };
         let progress = leadership.progress.get(&id)?;
         Some(self.commit.saturating_sub(progress.matched))
@@ -90,7 +94,7 @@
                 members.learners.insert(*id, peer.clone());
             }
             MemberChange::Promote(id) => {
-                if self.lacks(*id).is_none_or(|lacks| lacks > 0) {
+                if self.replication_lag(*id).is_none_or(|lag| lag > 0) {
                     return Err(ChangeError::Behind);
                 }
                 let peer = members.learners.remove(id).ok_or(ChangeError::Unfit)?;
--- a/crates/hatchpitch/src/replication/mod.rs
+++ b/crates/hatchpitch/src/replication/mod.rs
@@ -5,10 +5,10 @@
 
 pub mod append;
 pub mod bootstrap;
-pub mod change;
 pub mod disk;
 pub mod election;
 pub mod entries;
+pub mod membership;
 pub mod messages;
 pub mod restart;
 pub mod state;
--- a/crates/hatchpitch/src/replication/restart.rs
+++ b/crates/hatchpitch/src/replication/restart.rs
@@ -30,7 +30,7 @@
 /// Answers a question to an identity that this box no longer has: its disk was lost, and the
 /// process that may have led under it ended before this one could listen at the same address.
 /// Returns `None` for any other message.
-pub fn answer_for_former(asked: &Envelope) -> Option<Envelope> {
+pub fn answer_for_former_identity(asked: &Envelope) -> Option<Envelope> {
     let Message::AskLead { life } = asked.message else { return None };
     let message = Message::NotLeading { life };
     Some(Envelope { from: asked.to, to: asked.from, message })
--- a/crates/hatchpitch/src/replication/task.rs
+++ b/crates/hatchpitch/src/replication/task.rs
@@ -12,8 +12,8 @@
 use futures_util::StreamExt;
 use hatchpitch_net::{BoxClient, Stop, clock};
 
-use super::change::{ChangeError, MemberChange};
 use super::disk::Disk;
+use super::membership::{ChangeError, MemberChange};
 use super::messages::{Entry, Envelope, Index, LogBatch, Message, NodeId, Payload, Term};
 use super::state::{Ready, Replica, ReplicaConfig, Snapshot};
 use super::storage::{Storage, StorageError};
@@ -28,7 +28,7 @@
 /// that lost and won its lead meanwhile asks for another.
 const LARGE_QUEUE: usize = 0;
 /// Time for a batch of messages to be taken.
-pub(crate) const SEND_LIMIT: Duration = Duration::from_millis(1_000);
+pub(crate) const SEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Longest time between two looks at the clock.
 const TICK: Duration = Duration::from_millis(25);
 /// Bytes of the log file after which a snapshot is taken.
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns a [`ChangeError`]; nothing was begun then.
-    pub async fn change(&self, change: MemberChange) -> Result<(), ChangeError> {
+    pub async fn change_members(&self, change: MemberChange) -> Result<(), ChangeError> {
         let (tx, rx) = oneshot::channel();
         let sent = self.tx.unbounded_send(Input::Change(change, tx));
         sent.map_err(|_| ChangeError::NotLeader)?;
@@ -295,7 +295,7 @@
                 let _ = reply.send(handed);
             }
             Input::Change(change, reply) => {
-                let begun = self.replica.borrow_mut().change(&change, now);
+                let begun = self.replica.borrow_mut().change_members(&change, now);
                 let _ = reply.send(begun);
             }
         }
@@ -488,7 +488,7 @@
             envelopes.push(next);
         }
         let batch = LogBatch { reply_to, envelopes };
-        if let Err(err) = client.call::<_, ()>(addr, LOG_PATH, &batch, SEND_LIMIT).await {
+        if let Err(err) = client.call::<_, ()>(addr, LOG_PATH, &batch, SEND_TIMEOUT).await {
             log::debug!("{} messages of the log: {err}", batch.envelopes.len());
         }
     }
--- a/crates/hatchpitch/src/replication/transfer.rs
+++ b/crates/hatchpitch/src/replication/transfer.rs
@@ -12,7 +12,7 @@
 use serde_bytes::ByteBuf;
 
 use super::messages::{LogBatch, NodeId};
-use super::task::SEND_LIMIT;
+use super::task::SEND_TIMEOUT;
 
 /// Path of parts of a large message.
 pub const PART_PATH: &str = "/box/log-part";
@@ -63,11 +63,11 @@
 
 /// The messages that are being put together at one replica.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct Reassembler {
     open: BTreeMap<NodeId, Open>,
 }
 
-impl Assembly {
+impl Reassembler {
     /// Takes in a part; returns the whole message with its last one.
     pub fn take(&mut self, part: LogPart, now: Instant) -> (PartAnswer, Option<Vec<u8>>) {
         self.open.retain(|_, open| now.duration_since(open.touched) < GIVE_UP);
@@ -117,7 +117,7 @@
     let mut offset = 0;
     for bytes in message.chunks(PART_BYTES) {
         let part = LogPart { from, transfer, total, offset, bytes: ByteBuf::from(bytes) };
-        let answer = client.call::<_, PartAnswer>(addr, PART_PATH, &part, SEND_LIMIT).await?;
+        let answer = client.call::<_, PartAnswer>(addr, PART_PATH, &part, SEND_TIMEOUT).await?;
         if answer == PartAnswer::Refused {
             return Ok(false);
         }
--- a/crates/hatchpitch/tests/replication/restarts.rs
+++ b/crates/hatchpitch/tests/replication/restarts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use arbitrary::Unstructured;
-use hatchpitch::replication::restart::answer_for_former;
+use hatchpitch::replication::restart::answer_for_former_identity;
 use hatchpitch::replication::{Envelope, Message, NodeId};
 
 use super::group::{Flying, Group};
@@ -115,7 +115,7 @@
     for Flying { from, to, message } in std::mem::take(&mut group.flying) {
         let asked = Envelope { from, to, message };
         if to == lost
-            && let Some(Envelope { from, to, message }) = answer_for_former(&asked)
+            && let Some(Envelope { from, to, message }) = answer_for_former_identity(&asked)
         {
             group.flying.push(Flying { from, to, message });
         }
@@ -141,7 +141,7 @@
 #[test]
 fn only_questions_are_answered_for_a_former_identity() {
     let heartbeat = Envelope { from: 1, to: 2, message: Message::NotLeading { life: 1 } };
-    assert_eq!(answer_for_former(&heartbeat), None);
+    assert_eq!(answer_for_former_identity(&heartbeat), None);
 }
 
 #[test]
--- a/crates/hatchpitch/tests/replication/schedules.rs
+++ b/crates/hatchpitch/tests/replication/schedules.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use arbitrary::Unstructured;
-use hatchpitch::replication::change::{ChangeError, MemberChange};
+use hatchpitch::replication::membership::{ChangeError, MemberChange};
 use hatchpitch::replication::messages::LogEnd;
 use hatchpitch::replication::{
     Entry, HardState, Message, Payload, Replica, ReplicaConfig, Restored, Snapshot,
@@ -281,17 +281,17 @@
     let new = 4;
     group.add(new, voters([]));
     let add = MemberChange::AddLearner(new, peer(new));
-    group.step(leader, |r, now| r.change(&add, now).unwrap());
+    group.step(leader, |r, now| r.change_members(&add, now).unwrap());
     let too_early = MemberChange::Promote(new);
     group.step(leader, |r, now| {
-        assert_eq!(r.change(&too_early, now), Err(ChangeError::Busy));
+        assert_eq!(r.change_members(&too_early, now), Err(ChangeError::Busy));
     });
     group.run(1_000).unwrap();
-    group.step(leader, |r, now| r.change(&MemberChange::Promote(new), now).unwrap());
+    group.step(leader, |r, now| r.change_members(&MemberChange::Promote(new), now).unwrap());
     group.run(1_000).unwrap();
-    group.step(leader, |r, now| r.change(&MemberChange::Remove(lost), now).unwrap());
+    group.step(leader, |r, now| r.change_members(&MemberChange::Remove(lost), now).unwrap());
     group.run(1_000).unwrap();
-    assert_eq!(group.replica(leader).lacks(new), Some(0));
+    assert_eq!(group.replica(leader).replication_lag(new), Some(0));
     assert!(group.replica(leader).members_committed());
 
     group.nodes.remove(&leader);
@@ -311,10 +311,12 @@
     for id in 1..=3 {
         group.cut.insert((id, 4));
     }
-    group.step(leader, |r, now| r.change(&MemberChange::AddLearner(4, peer(4)), now).unwrap());
+    group.step(leader, |r, now| {
+        r.change_members(&MemberChange::AddLearner(4, peer(4)), now).unwrap()
+    });
     group.run(1_000).unwrap();
     group.step(leader, |r, now| {
-        assert_eq!(r.change(&MemberChange::Promote(4), now), Err(ChangeError::Behind));
+        assert_eq!(r.change_members(&MemberChange::Promote(4), now), Err(ChangeError::Behind));
     });
 }
 
--- a/crates/hatchpitch/tests/replication/transfer.rs
+++ b/crates/hatchpitch/tests/replication/transfer.rs
@@ -4,7 +4,7 @@
 
 use arbitrary::Unstructured;
 use hatchpitch::replication::NodeId;
-use hatchpitch::replication::transfer::{Assembly, LogPart, PartAnswer, TransferId};
+use hatchpitch::replication::transfer::{LogPart, PartAnswer, Reassembler, TransferId};
 use serde_bytes::ByteBuf;
 
 /// Time without a part after which a message is surely given up.
@@ -20,7 +20,7 @@
 fn parts_in_order_make_the_message_and_nothing_else_does() {
     arbtest::arbtest(|u: &mut Unstructured<'_>| {
         let now = Instant::now();
-        let mut assembly = Assembly::default();
+        let mut assembly = Reassembler::default();
         // What each of two senders sends now, and how much of it has arrived.
         let mut sent: [(TransferId, Vec<u8>, usize); 2] = Default::default();
         for step in 0..u.int_in_range(1..=60)? {
@@ -50,7 +50,7 @@
 #[test]
 fn what_is_put_together_is_bounded() {
     let now = Instant::now();
-    let mut assembly = Assembly::default();
+    let mut assembly = Reassembler::default();
     let begin = |from| part(from, 1, b"a message", 0, 4);
     for from in 0..16 {
         assert_eq!(assembly.take(begin(from), now).0, PartAnswer::Taken);
