--- a/crates/hatchpitch/src/replication/append.rs
+++ b/crates/hatchpitch/src/replication/append.rs
@@ -1,21 +1,28 @@
-//! Replication: what a leader sends, what a follower keeps, what is committed, and the lease.
+//! Log replication, commitment and the leader lease.
 
 use std::time::Instant;
 
 use super::messages::{Entry, Index, LogEnd, Message, NodeId, Payload, Round};
 use super::state::{Leadership, Progress, Ready, Replica, Role, Snapshot};
 
-/// Rounds whose send times are remembered.
-const KEPT_ROUNDS: usize = 4_096;
+/// Number of recent rounds whose send times a leader keeps.
+const MAX_TRACKED_ROUNDS: usize = 4_096;
 
 impl Progress {
     pub(super) fn new(next: Index) -> Self {
-        Self { next, matched: 0, heard: None, installing: None, large_on_its_way: false }
+        Self {
+            next,
+            matched: 0,
+            last_contact: None,
+            snapshot_sent_at: None,
+            large_in_flight: false,
+        }
     }
 }
 
 impl Leadership {
-    /// Returns when a round was sent, if it is remembered. Rounds are numbered without gaps.
+    /// Returns the send time of a round, or `None` if it is no longer kept. Rounds are numbered
+    /// without gaps.
     fn sent_at(&self, round: Round) -> Option<Instant> {
         let (first, _) = self.rounds.front()?;
         let offset = usize::try_from(round.checked_sub(*first)?).ok()?;
@@ -24,40 +31,41 @@
 }
 
 impl Replica {
-    /// Returns until when this replica may act as the only leader; `None` if it may not.
+    /// Returns the end of this replica's leader lease, or `None` if it holds none.
     ///
-    /// Until that moment no other replica can win an election, whatever the network does.
+    /// Until then no other replica can win an election, whatever the network does.
     pub fn lease_until(&self) -> Option<Instant> {
         let Role::Leader(leadership) = &self.role else { return None };
         if self.commit < leadership.first_index || !self.is_voter() {
             return None;
         }
-        // Only who keeps this leader's first entry knows it by its log after a restart.
-        let heard = self.quorum_heard(leadership, leadership.first_index)?;
-        Some(heard + self.cfg.lease())
+        // Only voters that hold the first entry of this leader's term count: after a restart, only
+        // their logs identify this replica as a voter to be queried (see `restart`).
+        let last_contact = self.quorum_contact(leadership, leadership.first_index)?;
+        Some(last_contact + self.cfg.lease())
     }
 
-    /// Returns the newest moment at which a majority that holds the log up to `index` was known
-    /// to follow this leader.
-    fn quorum_heard(&self, leadership: &Leadership, index: Index) -> Option<Instant> {
+    /// Returns the latest time at which a quorum whose logs match up to `index` is known to have
+    /// followed this leader.
+    fn quorum_contact(&self, leadership: &Leadership, index: Index) -> Option<Instant> {
         let voters = self.members.voters.keys();
         let others = voters.filter(|id| **id != self.id);
         let progress = others.filter_map(|id| leadership.progress.get(id));
-        let mut heard: Vec<Instant> =
-            progress.filter(|p| p.matched >= index).filter_map(|p| p.heard).collect();
-        heard.sort_unstable_by(|a, b| b.cmp(a));
+        let mut contacts: Vec<Instant> =
+            progress.filter(|p| p.matched >= index).filter_map(|p| p.last_contact).collect();
+        contacts.sort_unstable_by(|a, b| b.cmp(a));
         let needed = self.members.quorum() - usize::from(self.is_voter());
         match needed {
-            0 => Some(leadership.rounds.back().map_or(leadership.since, |(_, at)| *at)),
-            _ => heard.get(needed - 1).copied(),
+            0 => Some(leadership.rounds.back().map_or(leadership.elected_at, |(_, at)| *at)),
+            _ => contacts.get(needed - 1).copied(),
         }
     }
 
     pub(super) fn tick_leader(&mut self, now: Instant) {
         let Role::Leader(leadership) = &self.role else { return };
-        let heard = self.quorum_heard(leadership, 0).unwrap_or(leadership.since);
-        if now.duration_since(heard.max(leadership.since)) > self.cfg.election_max {
-            // Check-quorum: a leader that a majority does not answer steps down.
+        let last_contact = self.quorum_contact(leadership, 0).unwrap_or(leadership.elected_at);
+        if now.duration_since(last_contact.max(leadership.elected_at)) > self.cfg.election_max {
+            // Check-quorum: a leader steps down when a majority stops answering.
             self.become_follower(None, now);
             return;
         }
@@ -66,55 +74,55 @@
         }
     }
 
-    pub(super) fn append_own(&mut self, payload: Payload) {
+    pub(super) fn append_entry(&mut self, payload: Payload) {
         let entry = Entry { term: self.hard.term, index: self.log.end().index + 1, payload };
         let changes_members = matches!(entry.payload, Payload::Members(_));
         self.log.push(entry.clone());
         if changes_members {
             self.refresh_members();
         }
-        self.out.entries.push(entry);
+        self.pending.entries.push(entry);
     }
 
-    /// Sends what each replica lacks, or a heartbeat, to all of them.
+    /// Starts a round: sends every other replica its missing entries or a heartbeat.
     pub(super) fn broadcast(&mut self, now: Instant) {
         let heartbeat = self.cfg.heartbeat;
         let Role::Leader(leadership) = &mut self.role else { return };
         leadership.round += 1;
         leadership.rounds.push_back((leadership.round, now));
-        if leadership.rounds.len() > KEPT_ROUNDS {
+        if leadership.rounds.len() > MAX_TRACKED_ROUNDS {
             leadership.rounds.pop_front();
         }
         leadership.next_heartbeat = now + heartbeat;
         let ids: Vec<NodeId> = leadership.progress.keys().copied().collect();
         for id in ids {
             self.replicate(id, now);
-            self.heartbeat_beside_large(id);
+            self.heartbeat_during_large(id);
         }
     }
 
-    /// Notes that a large message to a replica has arrived, or was lost on its way.
-    pub fn large_ended(&mut self, to: NodeId) {
+    /// Records that the large message in flight to a replica was delivered or lost.
+    pub fn large_done(&mut self, to: NodeId) {
         if let Role::Leader(leadership) = &mut self.role
             && let Some(progress) = leadership.progress.get_mut(&to)
         {
-            // A message that was lost shows as a gap at the next heartbeat.
-            progress.large_on_its_way = false;
+            // If the message was lost, the reply to the next heartbeat reveals the gap.
+            progress.large_in_flight = false;
         }
     }
 
-    /// Keeps a replica that waits for a large message from counting this leader as silent: it is
-    /// told of nothing beyond what it is known to hold.
-    fn heartbeat_beside_large(&mut self, to: NodeId) {
+    /// Sends a heartbeat to a replica that has a large message in flight, so that its election
+    /// timer does not expire. The heartbeat refers to no entry beyond the replica's match index.
+    fn heartbeat_during_large(&mut self, to: NodeId) {
         let Role::Leader(leadership) = &self.role else { return };
-        let Some(progress) = leadership.progress.get(&to).filter(|p| p.large_on_its_way) else {
+        let Some(progress) = leadership.progress.get(&to).filter(|p| p.large_in_flight) else {
             return;
         };
-        let known = self.log.term_at(progress.matched);
-        let known = known.map(|term| LogEnd { term, index: progress.matched });
+        let prev = self.log.term_at(progress.matched);
+        let prev = prev.map(|term| LogEnd { term, index: progress.matched });
         let message = Message::Append {
             term: self.hard.term,
-            prev: known.unwrap_or(self.log.start),
+            prev: prev.unwrap_or(self.log.start),
             entries: Vec::new(),
             commit: self.commit,
             round: leadership.round,
@@ -122,19 +130,20 @@
         self.send(to, message);
     }
 
-    /// Sends what a replica lacks, or a heartbeat, unless a large message is on its way to it.
+    /// Sends a replica its missing entries or a heartbeat, unless a large message to it is in
+    /// flight. Sends a snapshot if the missing entries have been compacted.
     fn replicate(&mut self, to: NodeId, now: Instant) {
         let Role::Leader(leadership) = &self.role else { return };
         let (round, progress) = (leadership.round, &leadership.progress[&to]);
-        if progress.large_on_its_way {
+        if progress.large_in_flight {
             return;
         }
         let prev = progress.next - 1;
         let Some(prev_term) = self.log.term_at(prev) else {
-            self.install(to, round, now);
+            self.send_snapshot(to, round, now);
             return;
         };
-        let entries = self.batch(progress.next);
+        let entries = self.entries_to_send(progress.next);
         let sent = entries.len() as u64;
         let message = Message::Append {
             term: self.hard.term,
@@ -146,37 +155,40 @@
         if let Role::Leader(leadership) = &mut self.role
             && let Some(progress) = leadership.progress.get_mut(&to)
         {
-            // Optimistic; a lost message shows as a gap at the next heartbeat.
+            // Optimistic: if the message is lost, the reply to the next heartbeat reveals the gap.
             progress.next += sent;
-            progress.large_on_its_way = message.payload_len() > self.cfg.large_bytes;
+            progress.large_in_flight = message.payload_len() > self.cfg.large_bytes;
         }
         self.send(to, message);
     }
 
-    fn batch(&self, from: Index) -> Vec<Entry> {
+    /// Returns entries from `from` on within the limits of a message, but at least one if any
+    /// exist.
+    fn entries_to_send(&self, from: Index) -> Vec<Entry> {
         let mut bytes = 0;
-        let within = |entry: &&Entry| {
+        let fits = |entry: &&Entry| {
             bytes += entry.payload.encoded_len();
             bytes <= self.cfg.max_bytes
         };
         let available = self.log.from(from);
         let mut batch: Vec<Entry> =
-            available.iter().take(self.cfg.max_entries).take_while(within).cloned().collect();
+            available.iter().take(self.cfg.max_entries).take_while(fits).cloned().collect();
         if batch.is_empty() {
             batch.extend(available.first().cloned());
         }
         batch
     }
 
-    fn install(&mut self, to: NodeId, round: Round, now: Instant) {
-        let rest = self.cfg.election_min;
+    /// Sends the snapshot to a replica, at most once per `election_min` while it is unanswered.
+    fn send_snapshot(&mut self, to: NodeId, round: Round, now: Instant) {
+        let resend_after = self.cfg.election_min;
         let Role::Leader(leadership) = &mut self.role else { return };
         let Some(progress) = leadership.progress.get_mut(&to) else { return };
-        if progress.installing.is_some_and(|at| now.duration_since(at) < rest) {
+        if progress.snapshot_sent_at.is_some_and(|at| now.duration_since(at) < resend_after) {
             return;
         }
-        progress.installing = Some(now);
-        progress.large_on_its_way = self.snapshot_data.len() > self.cfg.large_bytes;
+        progress.snapshot_sent_at = Some(now);
+        progress.large_in_flight = self.snapshot_data.len() > self.cfg.large_bytes;
         let message = Message::Install {
             term: self.hard.term,
             end: self.log.start,
@@ -196,8 +208,8 @@
         round: Round,
         now: Instant,
     ) {
-        self.note_leader(from, now);
-        let (matched, index) = self.store(prev, entries);
+        self.record_leader_contact(from, now);
+        let (matched, index) = self.store_entries(prev, entries);
         if matched {
             self.commit_to(commit.min(index));
         }
@@ -205,15 +217,15 @@
         self.send(from, reply);
     }
 
-    /// Stores entries after `prev`; returns whether they match and up to where,
-    /// or from where the leader should try.
-    fn store(&mut self, prev: LogEnd, entries: Vec<Entry>) -> (bool, Index) {
+    /// Stores the entries that follow `prev`. Returns whether the log matches the leader's, and the
+    /// last matching index or, on a mismatch, the one after which the leader should try next.
+    fn store_entries(&mut self, prev: LogEnd, entries: Vec<Entry>) -> (bool, Index) {
         let start = self.log.start.index;
         if prev.index > self.log.end().index {
             return (false, self.log.end().index);
         }
         if prev.index >= start && self.log.term_at(prev.index) != Some(prev.term) {
-            // Everything up to the commit index matches every leader's log.
+            // Entries up to the commit index match the log of every later leader.
             return (false, self.commit.min(prev.index - 1));
         }
         let last = prev.index + entries.len() as u64;
@@ -223,7 +235,7 @@
                 Some(_) => self.truncate(entry.index),
                 None => {}
             }
-            self.out.entries.push(entry.clone());
+            self.pending.entries.push(entry.clone());
             self.log.push(entry);
         }
         self.refresh_members();
@@ -231,11 +243,11 @@
     }
 
     fn truncate(&mut self, from: Index) {
-        assert!(from > self.commit, "a committed entry is never dropped");
+        assert!(from > self.commit, "committed entries must not be truncated");
         self.log.truncate(from);
-        self.out.entries.retain(|entry| entry.index < from);
-        let earlier = self.out.truncate_from.map_or(from, |before| before.min(from));
-        self.out.truncate_from = Some(earlier);
+        self.pending.entries.retain(|entry| entry.index < from);
+        let earlier = self.pending.truncate_from.map_or(from, |before| before.min(from));
+        self.pending.truncate_from = Some(earlier);
     }
 
     pub(super) fn on_install(
@@ -245,7 +257,7 @@
         round: Round,
         now: Instant,
     ) {
-        self.note_leader(from, now);
+        self.record_leader_contact(from, now);
         let end = snapshot.end;
         if end.index > self.commit {
             self.commit = end.index;
@@ -256,19 +268,20 @@
             };
             self.log = super::entries::Entries::new(end, snapshot.members.clone(), kept.clone());
             self.refresh_members();
-            // The snapshot replaces all that the disk holds; what is kept is written again.
-            let (hard, messages) = (Some(self.hard), std::mem::take(&mut self.out.messages));
+            // The snapshot replaces the whole log file, so the remaining entries are written again.
+            let (hard, messages) = (Some(self.hard), std::mem::take(&mut self.pending.messages));
             let snapshot = Some(snapshot);
-            self.out = Ready { snapshot, hard, entries: kept, messages, ..Ready::default() };
+            self.pending = Ready { snapshot, hard, entries: kept, messages, ..Ready::default() };
         }
         let index = self.commit.min(end.index);
         let reply = Message::AppendReply { term: self.hard.term, matched: true, index, round };
         self.send(from, reply);
     }
 
-    fn note_leader(&mut self, leader: NodeId, now: Instant) {
-        // First: the time to this replica's next election depends on it.
-        self.last_contact = Some(now);
+    fn record_leader_contact(&mut self, leader: NodeId, now: Instant) {
+        // Must be set first: `become_follower` resets the election timer, whose range depends on
+        // it.
+        self.leader_contact = Some(now);
         self.become_follower(Some(leader), now);
     }
 
@@ -284,14 +297,14 @@
         let Role::Leader(leadership) = &mut self.role else { return };
         let sent = leadership.sent_at(round);
         let Some(progress) = leadership.progress.get_mut(&from) else { return };
-        progress.heard = progress.heard.max(sent);
+        progress.last_contact = progress.last_contact.max(sent);
         if matched {
             progress.matched = progress.matched.max(index);
             progress.next = progress.next.max(progress.matched + 1);
-            progress.installing = None;
-            let behind = progress.next <= end;
+            progress.snapshot_sent_at = None;
+            let has_more = progress.next <= end;
             self.advance_commit(now);
-            if behind {
+            if has_more {
                 self.replicate(from, now);
             }
         } else if index >= progress.matched && index + 1 < progress.next {
@@ -300,10 +313,11 @@
         }
     }
 
-    /// Commits what a majority holds durably, if it is of this leader's term.
+    /// Advances the commit index to the last index that a majority holds durably, if its entry is
+    /// of this leader's term.
     pub(super) fn advance_commit(&mut self, now: Instant) {
         let Role::Leader(leadership) = &self.role else { return };
-        let mut held: Vec<Index> = self
+        let mut matched: Vec<Index> = self
             .members
             .voters
             .keys()
@@ -313,11 +327,11 @@
                 None => 0,
             })
             .collect();
-        held.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(index) = held.get(self.members.quorum() - 1).copied() else { return };
+        matched.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(index) = matched.get(self.members.quorum() - 1).copied() else { return };
         if index > self.commit && self.log.term_at(index) == Some(self.hard.term) {
             self.commit_to(index);
-            self.after_commit(now);
+            self.step_down_if_removed(now);
         }
     }
 
@@ -328,7 +342,7 @@
         }
         let new = self.log.from(self.commit + 1);
         let new = new.iter().take_while(|entry| entry.index <= index);
-        self.out.committed.extend(new.cloned());
+        self.pending.committed.extend(new.cloned());
         self.commit = index;
     }
 }
--- a/crates/hatchpitch/src/replication/bootstrap.rs
+++ b/crates/hatchpitch/src/replication/bootstrap.rs
@@ -1,10 +1,10 @@
-//! The first start of a control box: who is who, and when a log may begin.
+//! Cluster bootstrap: the first start of a control box.
 //!
-//! Replicas are known by identities bound to their disks, which the settings
-//! cannot name. So at its first start a box asks all peers of its settings who
-//! they are. A log begins only if every peer answers and none has begun one;
-//! if one has, this box joins it only if its identity already takes part. A
-//! box that lost its disk therefore never begins anew: it waits for `repair`.
+//! Replicas are identified by ids bound to their disks, which the settings cannot contain. At its
+//! first start a box therefore asks every peer in its settings for its id. A new log is created
+//! only if all peers answer and none of them has a log. If a log exists, this box takes part in it
+//! only if its id is already a member. A box that lost its disk therefore never creates a second
+//! log; it waits for `repair`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,51 +20,54 @@
 use crate::ids::BoxName;
 use crate::settings::ControlPeer;
 
-/// Path of introductions.
+/// Path of [`Hello`] calls.
 pub const HELLO_PATH: &str = "/box/hello";
-const CALL_LIMIT: Duration = Duration::from_millis(500);
-const RETRY_REST: Duration = Duration::from_millis(100);
-/// Rounds between notes in the log that the box still waits.
-const NOTE_EVERY: u32 = 50;
+/// Timeout of a [`Hello`] call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between rounds of calls to all peers.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Rounds between warnings that the box is still waiting for its peers.
+const ROUNDS_PER_WARNING: u32 = 50;
 
-/// A box's introduction.
+/// What a control box tells its peers about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its name.
+    /// Name of the box.
     pub name: BoxName,
-    /// Its identity.
+    /// Replica id, bound to the box's disk.
     pub id: NodeId,
-    /// Who takes part in its log, if it has one.
+    /// Members of its log, if it has one.
     pub members: Option<Members>,
-    /// Who leads, as far as it knows.
+    /// The leader, if it knows one.
     #[serde(default)]
     pub leader: Option<Peer>,
-    /// Whether it has no disk, so that it takes no part.
+    /// Whether the box has no disk and is therefore not a replica.
     #[serde(default)]
     pub without_disk: bool,
 }
 
-/// What a round of introductions led to.
+/// What to do after one round of calls to the peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Introduced {
-    /// The log begins, or began, with these members, and this box is one of them.
+pub enum Decision {
+    /// Create the log with these members, of which this box is one. If the log exists, these are
+    /// its members.
     Begin(Members),
-    /// Not all peers answered.
+    /// Ask again: not all peers answered.
     Wait,
-    /// A log goes on without this identity; it has to be let in by `repair`.
-    Outside,
+    /// A log exists and this replica is not a member; an operator has to add it by `repair`.
+    NotMember,
 }
 
-/// Where the log is that a box asked for at its first start.
+/// Outcome of [`bootstrap`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BootstrapOutcome {
-    /// It begins, or began, with this box, whose disk now holds its members.
+    /// This box is a member of the log, which was created on its disk.
     Member,
-    /// It goes on without this identity, which has to be let in.
+    /// A log exists and this replica is not a member; it has to be added.
     NotMember,
 }
 
-/// Returns this disk's identity, making one at the first start.
+/// Returns the replica id bound to this disk. At the first start, draws a random one and binds it.
 ///
 /// # Errors
 ///
@@ -78,30 +81,33 @@
     Ok(id)
 }
 
-/// Decides what the answers of the peers mean for the box `own`.
-pub fn decide(own: NodeId, peers: &[ControlPeer], answers: &[Hello]) -> Introduced {
-    let begun = answers.iter().filter_map(|hello| hello.members.as_ref());
-    let newest = begun.max_by_key(|members| members.get(own).is_some());
-    match newest {
-        Some(members) if members.get(own).is_some() => return Introduced::Begin(members.clone()),
-        Some(_) => return Introduced::Outside,
+/// Decides from the peers' answers what the replica `own` does. A log that has it as a member is
+/// preferred over one that does not.
+pub fn decide(own: NodeId, peers: &[ControlPeer], answers: &[Hello]) -> Decision {
+    let members = answers.iter().filter_map(|hello| hello.members.as_ref());
+    let existing = members.max_by_key(|members| members.get(own).is_some());
+    match existing {
+        Some(members) if members.get(own).is_some() => return Decision::Begin(members.clone()),
+        Some(_) => return Decision::NotMember,
         None => {}
     }
     let mut voters = BTreeMap::new();
     for peer in peers {
         let Some(hello) = answers.iter().find(|hello| hello.name == peer.name) else {
-            return Introduced::Wait;
+            return Decision::Wait;
         };
         if !hello.without_disk {
             voters.insert(hello.id, as_peer(peer));
         }
     }
-    Introduced::Begin(Members { voters, learners: BTreeMap::new() })
+    Decision::Begin(Members { voters, learners: BTreeMap::new() })
 }
 
-/// Asks the peers until a log may begin, and makes it durable, or until one goes on without this
-/// box. Messages of its leader are no sign of the latter: one of the first members may get them
-/// before it has heard who the others are, and the log does not tell.
+/// Calls the peers until this box can create its log durably, or until a peer has a log that this
+/// replica is not a member of.
+///
+/// Messages from a leader do not imply that the log lacks this replica: one of the initial members
+/// may receive them before it has the ids of the others, and the messages do not contain those.
 ///
 /// # Errors
 ///
@@ -114,55 +120,56 @@
 ) -> Result<BootstrapOutcome, StorageError> {
     let mut rounds = 0_u32;
     loop {
-        let answers = introductions(own, peers, client).await;
+        let answers = exchange_hellos(own, peers, client).await;
         match decide(own.id, peers, &answers) {
-            Introduced::Begin(members) => {
+            Decision::Begin(members) => {
                 Storage::create(disk, members)?;
                 return Ok(BootstrapOutcome::Member);
             }
-            Introduced::Outside => return Ok(BootstrapOutcome::NotMember),
-            state @ Introduced::Wait if rounds.is_multiple_of(NOTE_EVERY) => {
+            Decision::NotMember => return Ok(BootstrapOutcome::NotMember),
+            decision @ Decision::Wait if rounds.is_multiple_of(ROUNDS_PER_WARNING) => {
                 log::warn!(
-                    "no log here yet: {state:?}; {} of {} peers answered",
+                    "no log on this disk yet: {decision:?}; {} of {} peers answered",
                     answers.len(),
                     peers.len()
                 );
             }
-            Introduced::Wait => {}
+            Decision::Wait => {}
         }
         rounds += 1;
-        compio::time::sleep(RETRY_REST).await;
+        compio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn introductions(own: &Hello, peers: &[ControlPeer], client: &BoxClient) -> Vec<Hello> {
+/// Calls every peer once; returns the own [`Hello`] and those of the peers that answered.
+async fn exchange_hellos(own: &Hello, peers: &[ControlPeer], client: &BoxClient) -> Vec<Hello> {
     let mut answers = vec![own.clone()];
     for peer in peers.iter().filter(|peer| peer.name != own.name) {
         match hello(client, peer.boxes_addr, own).await {
             Ok(answer) if answer.name == peer.name => answers.push(answer),
             Ok(answer) => {
-                log::warn!("{} introduces itself as {}", peer.boxes_addr, answer.name);
+                log::warn!("the box at {} identifies itself as {}", peer.boxes_addr, answer.name);
             }
-            Err(err) => log::debug!("introduction to {}: {err}", peer.name),
+            Err(err) => log::debug!("hello to {}: {err}", peer.name),
         }
     }
     answers
 }
 
-/// Introduces this box to another one and returns its introduction.
+/// Sends this box's [`Hello`] to another box and returns the one it answers with.
 ///
 /// # Errors
 ///
-/// Returns the failed call.
+/// Returns the error of the call.
 pub async fn hello(
     client: &BoxClient,
     addr: SocketAddr,
     own: &Hello,
 ) -> Result<Hello, hatchpitch_net::CallError> {
-    client.call(addr, HELLO_PATH, own, CALL_LIMIT).await
+    client.call(addr, HELLO_PATH, own, CALL_TIMEOUT).await
 }
 
-/// Returns a box of the settings as a replica.
+/// Converts a peer of the settings to a replica's addresses.
 pub fn as_peer(peer: &ControlPeer) -> Peer {
     Peer {
         name: peer.name.clone(),
--- a/crates/hatchpitch/src/replication/disk.rs
+++ b/crates/hatchpitch/src/replication/disk.rs
@@ -1,7 +1,7 @@
-//! The few file operations that storage needs, on a real folder or on a fake one.
+//! The file operations that storage needs, on a real folder or on a fake disk in memory.
 //!
-//! The fake keeps what was written apart from what was synced, so that tests
-//! can crash it after any operation and see what a machine would.
+//! The fake disk keeps written and synced content apart, so that tests can simulate a crash after
+//! any operation.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Where files live.
+/// Where the files are stored.
 #[derive(Debug, Clone)]
 pub enum Disk {
-    /// A folder of this machine.
+    /// A folder of the local file system.
     Folder(PathBuf),
-    /// Memory, for tests.
+    /// An in-memory disk, for tests.
     Fake(Rc<RefCell<FakeDisk>>),
 }
 
@@ -30,7 +30,7 @@
         Ok(Self::Folder(path.to_owned()))
     }
 
-    /// Lists the files.
+    /// Lists the names of the files in ascending order.
     ///
     /// # Errors
     ///
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Reads a whole file; `None` if there is none.
+    /// Reads a whole file; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Writes `bytes` at `offset`, cuts the file behind them, and syncs if asked to.
+    /// Writes `bytes` at `offset`, truncates the file after them, and syncs it if `sync` is set.
     ///
     /// # Errors
     ///
-    /// Returns the system's error; the file may then hold a part of `bytes`.
+    /// Returns the system's error; the file may then contain a part of `bytes`.
     pub fn write_at(&self, name: &str, offset: u64, bytes: &[u8], sync: bool) -> io::Result<()> {
         match self {
             Self::Folder(path) => {
@@ -88,11 +88,12 @@
         }
     }
 
-    /// Writes a whole file so that after a crash either the old or the new content is there.
+    /// Replaces a file atomically: after a crash it has either the old or the new content.
     ///
     /// # Errors
     ///
-    /// Returns the system's error; the old content is there then.
+    /// Returns the system's error; the old content is kept unless the final sync of the
+    /// folder failed.
     pub fn replace(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let temporary = format!("{name}.new");
         match self {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Removes a file if it is there.
+    /// Removes a file if it exists.
     ///
     /// # Errors
     ///
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Returns a name for messages.
+    /// Returns the path of a file for log and error messages.
     pub fn describe(&self, name: &str) -> String {
         match self {
             Self::Folder(path) => path.join(name).display().to_string(),
@@ -131,14 +132,15 @@
     }
 }
 
-/// A disk in memory.
+/// An in-memory disk with fault injection.
 #[derive(Debug, Default)]
 pub struct FakeDisk {
     files: BTreeMap<String, FakeFile>,
-    /// Operations after which every further one fails.
+    /// Count of operations after which every further one fails.
     fail_after: Option<u64>,
-    /// Whether failing operations leave a part of their bytes.
+    /// Whether a failing write leaves the first half of its bytes (a torn write).
     tear: bool,
+    /// Operations so far.
     operations: u64,
 }
 
@@ -149,14 +151,16 @@
 }
 
 impl FakeDisk {
-    /// Loses everything that was not synced, but for `kept` bytes of each unsynced tail.
+    /// Simulates a crash: discards unsynced content, except for the first `kept` bytes that were
+    /// appended to a file after its last sync.
     pub fn crash(&mut self, kept: usize) {
         self.fail_after = None;
         for file in self.files.values_mut() {
-            let common = file.synced.iter().zip(&file.written).take_while(|(a, b)| a == b).count();
-            if common == file.synced.len() {
-                let upto = (common + kept).min(file.written.len());
-                file.written.truncate(upto);
+            let common_len =
+                file.synced.iter().zip(&file.written).take_while(|(a, b)| a == b).count();
+            if common_len == file.synced.len() {
+                let end = (common_len + kept).min(file.written.len());
+                file.written.truncate(end);
             } else {
                 file.written.clone_from(&file.synced);
             }
@@ -164,25 +168,27 @@
         }
     }
 
-    /// Lets so many more operations through and then fails every one; `tear` leaves parts.
+    /// Fails every operation after the next `operations` ones; with `tear`, failing writes are
+    /// torn.
     pub fn fail_in(&mut self, operations: u64, tear: bool) {
         self.fail_after = Some(self.operations + operations);
         self.tear = tear;
     }
 
-    /// Lets operations through again.
-    pub fn mend(&mut self) {
+    /// Stops failing operations.
+    pub fn clear_failure(&mut self) {
         self.fail_after = None;
     }
 
-    /// Changes one byte of a file.
-    pub fn damage(&mut self, name: &str, at: usize) {
+    /// Flips bits of one byte of a file; a second call at the same offset restores it.
+    pub fn corrupt(&mut self, name: &str, at: usize) {
         if let Some(byte) = self.files.get_mut(name).and_then(|f| f.written.get_mut(at)) {
             *byte ^= 0x55;
         }
     }
 
-    fn operate(&mut self) -> io::Result<()> {
+    /// Counts an operation; fails once the limit of [`Self::fail_in`] is exceeded.
+    fn count_operation(&mut self) -> io::Result<()> {
         self.operations += 1;
         match self.fail_after {
             Some(limit) if self.operations > limit => {
@@ -193,18 +199,18 @@
     }
 
     fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8], sync: bool) -> io::Result<()> {
-        let failed = self.operate();
-        let taken = match (&failed, self.tear) {
+        let result = self.count_operation();
+        let written_len = match (&result, self.tear) {
             (Ok(()), _) => bytes.len(),
             (Err(_), true) => bytes.len() / 2,
-            (Err(_), false) => return failed,
+            (Err(_), false) => return result,
         };
         let file = self.files.entry(name.to_owned()).or_default();
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
         file.written.truncate(offset);
         file.written.resize(offset, 0);
-        file.written.extend_from_slice(&bytes[..taken]);
-        failed?;
+        file.written.extend_from_slice(&bytes[..written_len]);
+        result?;
         if sync {
             file.synced.clone_from(&file.written);
         }
@@ -212,14 +218,14 @@
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         let file = FakeFile { written: bytes.to_vec(), synced: bytes.to_vec() };
         self.files.insert(name.to_owned(), file);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         self.files.remove(name);
         Ok(())
     }
--- a/crates/hatchpitch/src/replication/election.rs
+++ b/crates/hatchpitch/src/replication/election.rs
@@ -1,4 +1,5 @@
-//! Elections: pre-votes, votes, terms, and the lease that they respect.
+//! Elections: pre-votes, votes, terms and leadership transfer. Votes are refused while a lease may
+//! be in force.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
@@ -7,8 +8,9 @@
 use super::state::{HardState, Leadership, Progress, Replica, Role};
 
 impl Replica {
-    /// Answers a message of an old term so that its sender learns the present one.
-    pub(super) fn answer_old_term(&mut self, from: NodeId, message: &Message) -> bool {
+    /// Rejects a message of an older term; returns whether it was one. Requests are answered with
+    /// the current term, so that the sender learns it.
+    pub(super) fn reject_stale_term(&mut self, from: NodeId, message: &Message) -> bool {
         if message.term() >= self.hard.term {
             return false;
         }
@@ -32,32 +34,36 @@
         true
     }
 
-    /// Moves on to a newer term. Pre-votes move nobody, and a vote asked for
-    /// within a leader's lease is not listened to, unless that leader gave it up.
-    pub(super) fn follow_newer_term(&mut self, from: NodeId, message: &Message, now: Instant) {
+    /// Adopts the term of a message if it is newer.
+    ///
+    /// Pre-votes never change the term. A vote request while a leader may hold a lease is ignored,
+    /// unless that leader gave up its lease and handed leadership over to the candidate.
+    pub(super) fn adopt_newer_term(&mut self, from: NodeId, message: &Message, now: Instant) {
         let term = message.term();
         if term <= self.hard.term {
             return;
         }
         let leader = match message {
             Message::PreVote { .. } | Message::PreVoteReply { granted: true, .. } => return,
-            Message::Vote { handed_over: false, .. } if self.may_have_leader(now) => return,
+            Message::Vote { handed_over: false, .. } if self.lease_may_be_held(now) => return,
             Message::Append { .. } | Message::Install { .. } => Some(from),
             _ => None,
         };
-        self.set_hard(HardState { term, voted_for: None });
+        self.set_hard_state(HardState { term, voted_for: None });
         self.become_follower(leader, now);
     }
 
-    /// Returns whether a leader may hold a lease that this replica granted, also before a restart.
-    pub(super) fn may_have_leader(&self, now: Instant) -> bool {
-        let granted = self.last_contact.unwrap_or(self.started);
-        let recent = now.duration_since(granted) < self.cfg.election_min;
-        self.leads() || (recent && !self.knows_of_no_lease())
+    /// Returns whether a leader may hold a lease that this replica granted, possibly before it
+    /// restarted. A leader counts its own lease.
+    pub(super) fn lease_may_be_held(&self, now: Instant) -> bool {
+        let granted_at = self.leader_contact.unwrap_or(self.started_at);
+        let recent = now.duration_since(granted_at) < self.cfg.election_min;
+        self.leads() || (recent && !self.rules_out_leases())
     }
 
-    pub(super) fn ask_pre_votes(&mut self, now: Instant) {
-        self.reset_election(now);
+    /// Starts a pre-vote, if this replica is a voter.
+    pub(super) fn start_pre_vote(&mut self, now: Instant) {
+        self.reset_election_timer(now);
         if !self.is_voter() {
             return;
         }
@@ -69,7 +75,8 @@
     }
 
     pub(super) fn on_pre_vote(&mut self, from: NodeId, term: Term, end: LogEnd, now: Instant) {
-        let granted = term > self.hard.term && end >= self.log.end() && !self.may_have_leader(now);
+        let granted =
+            term > self.hard.term && end >= self.log.end() && !self.lease_may_be_held(now);
         let term = if granted { term } else { self.hard.term };
         self.send(from, Message::PreVoteReply { term, granted });
     }
@@ -95,37 +102,40 @@
         if let Role::PreCandidate { granted } = &self.role
             && self.is_majority(granted)
         {
-            self.ask_votes(false, now);
+            self.start_election(false, now);
         }
     }
 
-    /// Gives the lead to a voter that holds the whole log; returns whether there is one.
+    /// Hands leadership over to a voter that holds the whole log; returns whether there is one.
     ///
-    /// This replica follows from here on, so its lease is over before anybody else can lead.
+    /// This replica becomes a follower at once, so its lease ends before another replica can lead.
     pub fn hand_over(&mut self, now: Instant) -> bool {
         let Role::Leader(leadership) = &self.role else { return false };
         let end = self.log.end().index;
-        let whole = leadership.progress.iter().filter(|(id, progress)| {
+        let caught_up = leadership.progress.iter().filter(|(id, progress)| {
             self.members.voters.contains_key(id) && progress.matched == end
         });
-        // Of those that hold everything, the one that was heard from last.
-        let next = whole.max_by_key(|(_, progress)| progress.heard).map(|(id, _)| *id);
+        // Of the voters that are caught up, choose the one with the most recent contact.
+        let next = caught_up.max_by_key(|(_, progress)| progress.last_contact).map(|(id, _)| *id);
         let Some(next) = next else { return false };
         self.send(next, Message::HandOver { term: self.hard.term });
         self.become_follower(None, now);
         true
     }
 
-    /// Takes over from the leader of the present term, which has given up its lease.
+    /// Starts an election at the request of the leader of the current term, which has given up its
+    /// lease.
     pub(super) fn on_hand_over(&mut self, now: Instant) {
         if self.is_voter() && !self.leads() {
-            self.ask_votes(true, now);
+            self.start_election(true, now);
         }
     }
 
-    fn ask_votes(&mut self, handed_over: bool, now: Instant) {
+    /// Starts an election in the next term; `handed_over` tells voters that the previous leader
+    /// gave up its lease.
+    fn start_election(&mut self, handed_over: bool, now: Instant) {
         let term = self.hard.term + 1;
-        self.set_hard(HardState { term, voted_for: Some(self.id) });
+        self.set_hard_state(HardState { term, voted_for: Some(self.id) });
         self.role = Role::Candidate { granted: BTreeSet::from([self.id]) };
         let message = Message::Vote { term, end: self.log.end(), handed_over };
         self.send_to_voters(&message);
@@ -140,12 +150,12 @@
         handed_over: bool,
         now: Instant,
     ) {
-        let free = self.hard.voted_for.is_none_or(|voted| voted == from);
-        let allowed = handed_over || !self.may_have_leader(now);
-        let granted = term == self.hard.term && free && end >= self.log.end() && allowed;
+        let vote_free = self.hard.voted_for.is_none_or(|voted| voted == from);
+        let lease_allows = handed_over || !self.lease_may_be_held(now);
+        let granted = term == self.hard.term && vote_free && end >= self.log.end() && lease_allows;
         if granted {
-            self.set_hard(HardState { term, voted_for: Some(from) });
-            self.reset_election(now);
+            self.set_hard_state(HardState { term, voted_for: Some(from) });
+            self.reset_election_timer(now);
         }
         self.send(from, Message::VoteReply { term: self.hard.term, granted });
     }
@@ -180,9 +190,9 @@
             round: 0,
             rounds: VecDeque::new(),
             next_heartbeat: now,
-            since: now,
+            elected_at: now,
         });
-        self.append_own(Payload::Noop);
+        self.append_entry(Payload::Noop);
         self.broadcast(now);
     }
 
@@ -192,9 +202,9 @@
     }
 
     fn send_to_voters(&mut self, message: &Message) {
-        let own = self.id;
+        let own_id = self.id;
         let voters: Vec<NodeId> = self.members.voters.keys().copied().collect();
-        for id in voters.into_iter().filter(|id| *id != own) {
+        for id in voters.into_iter().filter(|id| *id != own_id) {
             self.send(id, message.clone());
         }
     }
--- a/crates/hatchpitch/src/replication/entries.rs
+++ b/crates/hatchpitch/src/replication/entries.rs
@@ -1,36 +1,36 @@
-//! The part of the log that is kept in memory: everything after the snapshot.
+//! The in-memory part of the log: all entries after the snapshot.
 
 use super::messages::{Entry, Index, LogEnd, Members, Payload, Term};
 
-/// Entries after a snapshot.
+/// Log entries after a snapshot.
 ///
 /// Invariant: `entries[i].index == start.index + 1 + i`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entries {
-    /// Last entry that the snapshot holds.
+    /// Last entry that the snapshot covers.
     pub(super) start: LogEnd,
-    /// Who took part at `start`.
+    /// Members as of `start`.
     pub(super) start_members: Members,
     pub(super) entries: Vec<Entry>,
 }
 
 impl Entries {
-    /// Creates an empty log after a snapshot.
+    /// Creates a log from the end of a snapshot and the entries that follow it.
     pub fn new(start: LogEnd, start_members: Members, entries: Vec<Entry>) -> Self {
         Self { start, start_members, entries }
     }
 
-    /// Returns the position of the last entry that the snapshot holds.
+    /// Returns the index of the last entry that the snapshot covers.
     pub fn start_index(&self) -> Index {
         self.start.index
     }
 
-    /// Returns the last entry.
+    /// Returns the term and index of the last entry, or of the snapshot's end if there is none.
     pub fn end(&self) -> LogEnd {
         self.entries.last().map_or(self.start, |e| LogEnd { term: e.term, index: e.index })
     }
 
-    /// Returns the term at a position, if it is known.
+    /// Returns the term of the entry at an index, if it is known.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.start.index {
             return Some(self.start.term);
@@ -38,57 +38,57 @@
         self.get(index).map(|e| e.term)
     }
 
-    /// Returns the entry at a position, if it is kept.
+    /// Returns the entry at an index, if it is in memory.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.start.index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Returns the kept entries from a position on.
+    /// Returns the entries in memory from an index on.
     pub fn from(&self, index: Index) -> &[Entry] {
         let offset = index.saturating_sub(self.start.index + 1);
         let offset = usize::try_from(offset).unwrap_or(usize::MAX).min(self.entries.len());
         &self.entries[offset..]
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry.
     ///
     /// # Panics
     ///
-    /// Panics if the entry is not the next one.
+    /// Panics if the entry's index does not follow that of the last entry.
     pub fn push(&mut self, entry: Entry) {
-        assert_eq!(entry.index, self.end().index + 1, "entries come in order");
+        assert_eq!(entry.index, self.end().index + 1, "entries must be appended in order");
         self.entries.push(entry);
     }
 
-    /// Drops the entries from a position on.
+    /// Removes the entries from an index on.
     pub fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.start.index + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
-    /// Drops the entries up to `end`, which a snapshot now holds.
+    /// Removes the entries up to `end`, which a snapshot now covers.
     pub fn compact(&mut self, end: LogEnd, members: Members) {
         let kept = self.from(end.index + 1).to_vec();
         *self = Self::new(end, members, kept);
     }
 
-    /// Returns who takes part according to the newest entry, and that entry's position.
+    /// Returns the newest members and the index of the entry, or snapshot end, that set them.
     pub fn members(&self) -> (Members, Index) {
-        let changes = self.entries.iter().rev().find_map(|e| match &e.payload {
+        let newest = self.entries.iter().rev().find_map(|e| match &e.payload {
             Payload::Members(members) => Some((members.clone(), e.index)),
             Payload::Noop | Payload::Command(_) => None,
         });
-        changes.unwrap_or_else(|| (self.start_members.clone(), self.start.index))
+        newest.unwrap_or_else(|| (self.start_members.clone(), self.start.index))
     }
 
-    /// Returns who took part at a position that is kept.
+    /// Returns the members as of an index at or after the snapshot's end.
     pub fn members_at(&self, index: Index) -> Members {
-        let upto = self.entries.iter().take_while(|e| e.index <= index);
-        let change = upto.filter_map(|e| match &e.payload {
+        let preceding = self.entries.iter().take_while(|e| e.index <= index);
+        let changes = preceding.filter_map(|e| match &e.payload {
             Payload::Members(members) => Some(members.clone()),
             Payload::Noop | Payload::Command(_) => None,
         });
-        change.last().unwrap_or_else(|| self.start_members.clone())
+        changes.last().unwrap_or_else(|| self.start_members.clone())
     }
 }
--- a/crates/hatchpitch/src/replication/membership.rs
+++ b/crates/hatchpitch/src/replication/membership.rs
@@ -1,31 +1,31 @@
-//! Changes of who takes part, one replica at a time.
+//! Membership changes, one replica at a time.
 
 use std::time::Instant;
 
 use super::messages::{Members, NodeId, Payload, Peer};
 use super::state::{Progress, Replica, Role};
 
-/// A change of who takes part.
+/// A membership change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Send the log to a replica that does not count yet.
+    /// Adds a replica that receives the log but has no vote.
     AddLearner(NodeId, Peer),
-    /// Let a learner count.
+    /// Turns a learner into a voter.
     Promote(NodeId),
-    /// Let a replica no longer take part.
+    /// Removes a voter or a learner.
     Remove(NodeId),
 }
 
-/// Why a change was not begun.
+/// Why a membership change was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeError {
     /// This replica does not lead.
     NotLeader,
-    /// The change before is not committed, or nothing of this term is.
+    /// The previous change, or the first entry of this leader's term, is not committed yet.
     Busy,
-    /// The replica is not known, or known already.
-    Unfit,
-    /// The learner does not hold everything committed yet.
+    /// The replica is unknown, is already a member, or is the last voter.
+    InvalidMember,
+    /// The learner does not hold every committed entry yet.
     Behind,
 }
 
@@ -34,7 +34,7 @@
         f.write_str(match self {
             Self::NotLeader => "this box does not lead",
             Self::Busy => "another change of the control boxes is under way",
-            Self::Unfit => "the box is not known, or known already",
+            Self::InvalidMember => "the box is not known, or known already",
             Self::Behind => "the box does not hold everything yet",
         })
     }
@@ -43,11 +43,11 @@
 impl std::error::Error for ChangeError {}
 
 impl Replica {
-    /// Begins a change; it is in force here at once and counts once it is committed.
+    /// Appends a membership change. This replica applies it at once; it is final once committed.
     ///
     /// # Errors
     ///
-    /// Returns a [`ChangeError`]; nothing was begun then.
+    /// Returns a [`ChangeError`] if the change was rejected; nothing is appended then.
     pub fn change_members(
         &mut self,
         change: &MemberChange,
@@ -57,39 +57,42 @@
         if self.members_index > self.commit || self.commit < leadership.first_index {
             return Err(ChangeError::Busy);
         }
-        let members = self.changed(change)?;
-        self.append_own(Payload::Members(members));
-        self.follow_members();
+        let members = self.members_after(change)?;
+        self.append_entry(Payload::Members(members));
+        self.sync_progress();
         self.broadcast(now);
         Ok(())
     }
 
-    /// Returns how many committed entries a replica lacks, as far as this leader knows.
+    /// Returns how many committed entries a replica is not known to hold; `None` if it is unknown,
+    /// this replica itself, or this one does not lead.
     pub fn replication_lag(&self, id: NodeId) -> Option<u64> {
         let Role::Leader(leadership) = &self.role else { return None };
         let progress = leadership.progress.get(&id)?;
         Some(self.commit.saturating_sub(progress.matched))
     }
 
-    /// Returns how long a replica has not answered this leader; `None` if it is unknown, this
-    /// replica itself, or this one does not lead.
+    /// Returns the time since the newest round that a replica answered was sent, or since this
+    /// leader's election if it answered none; `None` if the replica is unknown, this one itself, or
+    /// this one does not lead.
     pub fn silent_for(&self, id: NodeId, now: Instant) -> Option<std::time::Duration> {
         let Role::Leader(leadership) = &self.role else { return None };
         let progress = leadership.progress.get(&id)?;
-        Some(now.duration_since(progress.heard.unwrap_or(leadership.since)))
+        Some(now.duration_since(progress.last_contact.unwrap_or(leadership.elected_at)))
     }
 
-    /// Returns whether the newest change of members is committed.
+    /// Returns whether the newest membership change is committed.
     pub fn members_committed(&self) -> bool {
         self.members_index <= self.commit
     }
 
-    fn changed(&self, change: &MemberChange) -> Result<Members, ChangeError> {
+    /// Returns the members after a change, if the change is valid.
+    fn members_after(&self, change: &MemberChange) -> Result<Members, ChangeError> {
         let mut members = self.members.clone();
         match change {
             MemberChange::AddLearner(id, peer) => {
                 if members.get(*id).is_some() {
-                    return Err(ChangeError::Unfit);
+                    return Err(ChangeError::InvalidMember);
                 }
                 members.learners.insert(*id, peer.clone());
             }
@@ -97,22 +100,22 @@
                 if self.replication_lag(*id).is_none_or(|lag| lag > 0) {
                     return Err(ChangeError::Behind);
                 }
-                let peer = members.learners.remove(id).ok_or(ChangeError::Unfit)?;
+                let peer = members.learners.remove(id).ok_or(ChangeError::InvalidMember)?;
                 members.voters.insert(*id, peer);
             }
             MemberChange::Remove(id) => {
-                let known = members.voters.remove(id).or_else(|| members.learners.remove(id));
-                known.ok_or(ChangeError::Unfit)?;
+                let removed = members.voters.remove(id).or_else(|| members.learners.remove(id));
+                removed.ok_or(ChangeError::InvalidMember)?;
                 if members.voters.is_empty() {
-                    return Err(ChangeError::Unfit);
+                    return Err(ChangeError::InvalidMember);
                 }
             }
         }
         Ok(members)
     }
 
-    /// Begins or ends sending to replicas after a change.
-    fn follow_members(&mut self) {
+    /// Starts tracking the progress of added replicas and drops that of removed ones.
+    fn sync_progress(&mut self) {
         let next = self.log.end().index + 1;
         let (own, members) = (self.id, self.members.clone());
         let Role::Leader(leadership) = &mut self.role else { return };
@@ -122,8 +125,8 @@
         }
     }
 
-    /// A leader that is no longer a voter steps down once that is committed.
-    pub(super) fn after_commit(&mut self, now: Instant) {
+    /// Steps down if this leader is no longer a voter and that change is committed.
+    pub(super) fn step_down_if_removed(&mut self, now: Instant) {
         if self.members_index <= self.commit && !self.is_voter() {
             self.broadcast(now);
             self.become_follower(None, now);
--- a/crates/hatchpitch/src/replication/messages.rs
+++ b/crates/hatchpitch/src/replication/messages.rs
@@ -1,72 +1,73 @@
-//! Entries of the log and the messages that replicate them.
+//! Log entries and the messages that replicate them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use super::restart::Life;
+use super::restart::Incarnation;
 use crate::ids::BoxName;
 
-/// Identity of a replica, bound to its disk: a box that lost its disk has a new one.
+/// Id of a replica. It is bound to the replica's disk: a box that lost its disk gets a new id.
 pub type NodeId = u64;
-/// Term of a leader.
+/// Raft term.
 pub type Term = u64;
-/// Position in the log, from 1.
+/// Index of a log entry, starting at 1.
 pub type Index = u64;
-/// Number of a round of messages of one leader.
+/// Number of a round of `Append` and `Install` messages of one leader.
 pub type Round = u64;
 
-/// A replica as others reach it.
+/// Name and addresses of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Name of its box.
+    /// Name of the box.
     pub name: BoxName,
-    /// Where other boxes reach it.
+    /// Address for other boxes.
     pub boxes_addr: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators_addr: SocketAddr,
 }
 
-/// Who takes part. Changes differ by one replica, so that majorities always meet.
+/// The members of the group. Each change adds or removes one voter at most, so that the majorities
+/// before and after it overlap.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Members {
-    /// Replicas that count.
+    /// Replicas that vote and count towards a majority.
     pub voters: BTreeMap<NodeId, Peer>,
-    /// Replicas that receive the log and do not count yet.
+    /// Replicas that receive the log but do not vote.
     pub learners: BTreeMap<NodeId, Peer>,
 }
 
 impl Members {
-    /// Returns how many voters make a majority.
+    /// Returns the number of voters in a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Iterates over all replicas.
+    /// Iterates over voters and learners.
     pub fn all(&self) -> impl Iterator<Item = (NodeId, &Peer)> {
         self.voters.iter().chain(&self.learners).map(|(id, peer)| (*id, peer))
     }
 
-    /// Looks a replica up.
+    /// Looks up a voter or learner.
     pub fn get(&self, id: NodeId) -> Option<&Peer> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 }
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader's first entry.
+    /// No content; the first entry of every leader.
     Noop,
-    /// A command of the state machine, encoded.
+    /// An encoded command of the state machine.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// A change of who takes part.
+    /// A membership change; holds the new members.
     Members(Members),
 }
 
 impl Payload {
-    /// Returns the length of the encoding in bytes, roughly.
+    /// Returns the approximate encoded length, in bytes.
     pub fn encoded_len(&self) -> usize {
         const SMALL: usize = 64;
         match self {
@@ -76,128 +77,131 @@
     }
 }
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that appended it.
     pub term: Term,
-    /// Its position.
+    /// Index of the entry.
     pub index: Index,
-    /// What it carries.
+    /// Content.
     pub payload: Payload,
 }
 
-/// The last entry of a log, which decides who may lead.
+/// Term and index of an entry, usually the last one of a log. Ordered by term, then index: a
+/// candidate's log must not end before that of the voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogEnd {
-    /// Its term.
+    /// Term of the entry.
     pub term: Term,
-    /// Its position.
+    /// Index of the entry.
     pub index: Index,
 }
 
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether an election in `term` could be won; changes nothing.
+    /// Asks whether the receiver would vote for the sender in `term`; changes no state.
     PreVote {
-        /// The term that the election would have.
+        /// Term of the possible election.
         term: Term,
-        /// End of the asker's log.
+        /// End of the sender's log.
         end: LogEnd,
     },
     /// Answers a [`Message::PreVote`].
     PreVoteReply {
-        /// The term asked about if granted, else the answerer's.
+        /// The requested term if granted, otherwise the sender's current term.
         term: Term,
-        /// Whether the vote would be given.
+        /// Whether the sender would grant its vote.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// Term of the election.
         term: Term,
         /// End of the candidate's log.
         end: LogEnd,
-        /// Whether the leader before gave its lead, and its lease, to the candidate.
+        /// Whether the previous leader gave up its lease and handed leadership over to the
+        /// candidate.
         #[serde(default)]
         handed_over: bool,
     },
-    /// Asks a replica that holds everything to take the lead over. The sender leads no longer.
+    /// Asks a replica that holds the whole log to start an election at once (`TimeoutNow` in Raft).
+    /// The sender no longer leads.
     HandOver {
-        /// The term that the sender led.
+        /// Term in which the sender was leader.
         term: Term,
     },
-    /// Asks a voter whether it leads, by a replica that restarted; without regard to terms.
+    /// Asks a voter whether it is the leader, after a restart of the sender. Independent of terms.
     AskLead {
-        /// The asker's life.
-        life: Life,
+        /// Incarnation of the sender.
+        life: Incarnation,
     },
     /// Answers a [`Message::AskLead`]: the sender does not lead.
     NotLeading {
-        /// The life that asked.
-        life: Life,
+        /// Incarnation that asked.
+        life: Incarnation,
     },
     /// Answers a [`Message::Vote`].
     VoteReply {
-        /// The answerer's term.
+        /// The sender's current term.
         term: Term,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Replicates entries; without any it is a heartbeat.
+    /// Replicates entries. Without entries, it is a heartbeat.
     Append {
         /// The leader's term.
         term: Term,
-        /// The entry before the first one sent.
+        /// Entry that precedes the first one sent.
         prev: LogEnd,
-        /// Entries.
+        /// Entries to append.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
-        /// Round, for the lease.
+        /// Round, whose answers renew the lease.
         round: Round,
     },
-    /// Replaces a log that is too far behind.
+    /// Replaces the log of a replica that lacks entries which the leader has compacted.
     Install {
         /// The leader's term.
         term: Term,
-        /// Last entry that the snapshot holds.
+        /// Last entry that the snapshot covers.
         end: LogEnd,
-        /// Who took part at that entry.
+        /// Members as of that entry.
         members: Members,
-        /// The state, encoded.
+        /// Encoded state.
         #[serde(with = "serde_bytes")]
         data: Vec<u8>,
-        /// Round, for the lease.
+        /// Round, whose answers renew the lease.
         round: Round,
     },
     /// Answers a [`Message::Append`] or [`Message::Install`].
     AppendReply {
-        /// The answerer's term.
+        /// The sender's current term.
         term: Term,
         /// Whether the log now matches the leader's up to `index`.
         matched: bool,
-        /// Last matching position, or a position to try from.
+        /// Last matching index, or on a mismatch the one after which the leader should try next.
         index: Index,
-        /// Round of the message that is answered.
+        /// Round of the answered message.
         round: Round,
     },
 }
 
 impl Message {
-    /// Returns whether only a leader sends such a message, and only to who takes part.
+    /// Returns whether only leaders send such a message, and only to members.
     pub fn is_from_leader(&self) -> bool {
         matches!(self, Self::Append { .. } | Self::Install { .. })
     }
 
-    /// Returns whether the message belongs to a term. Questions about leases of before a restart
-    /// do not: terms say nothing about those.
-    pub fn is_of_a_term(&self) -> bool {
+    /// Returns whether the message belongs to a term. Queries about leases granted before a restart
+    /// do not, because such a lease is independent of the receiver's term.
+    pub fn has_term(&self) -> bool {
         !matches!(self, Self::AskLead { .. } | Self::NotLeading { .. })
     }
 
-    /// Returns how many bytes of commands or state the message carries, roughly.
+    /// Returns the approximate size of the commands or state in the message, in bytes.
     pub fn payload_len(&self) -> usize {
         match self {
             Self::Append { entries, .. } => entries.iter().map(|e| e.payload.encoded_len()).sum(),
@@ -206,7 +210,7 @@
         }
     }
 
-    /// Returns the term that the message carries; 0 for messages without regard to terms.
+    /// Returns the term of the message, or 0 if it belongs to none.
     pub fn term(&self) -> Term {
         match self {
             Self::AskLead { .. } | Self::NotLeading { .. } => 0,
@@ -222,7 +226,7 @@
     }
 }
 
-/// A message with its sender and receiver; one for another identity is dropped.
+/// A message with its sender and receiver. A replica drops messages for another id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Sender.
@@ -233,10 +237,11 @@
     pub message: Message,
 }
 
-/// Messages from one box to another.
+/// A batch of messages from one box to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogBatch {
-    /// Where the sender takes answers: a box that was just let in knows nobody yet.
+    /// Address to which answers are sent: a box that was just added may not know the other members
+    /// yet.
     pub reply_to: SocketAddr,
     /// The messages.
     pub envelopes: Vec<Envelope>,
--- a/crates/hatchpitch/src/replication/mod.rs
+++ b/crates/hatchpitch/src/replication/mod.rs
@@ -1,7 +1,8 @@
-//! The replicated log: Raft as a state machine without I/O, its files, and its driver.
+//! The replicated log: Raft as a state machine without I/O, its storage, and the task that drives
+//! it.
 //!
-//! Pre-vote and check-quorum keep a box that comes back from a cut from
-//! disturbing the leader; the lease rests on the monotonic clock alone.
+//! Pre-vote and check-quorum keep a box that rejoins after a network partition from disrupting the
+//! leader. Leader leases depend only on the monotonic clock.
 
 pub mod append;
 pub mod bootstrap;
--- a/crates/hatchpitch/src/replication/state.rs
+++ b/crates/hatchpitch/src/replication/state.rs
@@ -1,8 +1,8 @@
-//! One replica: its state, what goes in and what comes out.
+//! The state of one replica, its inputs and its outputs.
 //!
-//! The driver feeds messages, ticks and proposals in, then takes a [`Ready`],
-//! makes its durable part durable, and only then sends its messages and
-//! applies its entries. That order is what every promise of the log rests on.
+//! The driver passes in messages, ticks and proposals and then takes a [`Ready`]. It first makes
+//! the durable part of the [`Ready`] durable and only then sends its messages and applies its
+//! committed entries. All guarantees of the log depend on this order.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,25 +13,26 @@
 
 use super::entries::Entries;
 use super::messages::{Entry, Index, LogEnd, Members, Message, NodeId, Payload, Round, Term};
-use super::restart::Restart;
+use super::restart::RestartState;
 
-/// Periods and bounds.
+/// Timeouts and limits of a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaConfig {
-    /// Time between heartbeats of a leader.
+    /// Interval between a leader's heartbeats.
     pub heartbeat: Duration,
-    /// Shortest time without a leader after which an election may be won.
+    /// Shortest election timeout. Replicas grant no vote for this long after contact with a leader.
     pub election_min: Duration,
-    /// Longest time without a leader before this replica asks for votes.
+    /// Longest election timeout.
     pub election_max: Duration,
-    /// Whether a group in which no lease can be in force after a restart elects at once.
+    /// Whether a group elects a leader at once after a restart if no lease can be in force.
     pub elects_at_once: bool,
-    /// Entries that one message carries at most.
+    /// Maximum number of entries in a message.
     pub max_entries: usize,
-    /// Bytes of entries that one message carries, roughly.
+    /// Approximate maximum size of the entries in a message, in bytes. A single larger entry is
+    /// sent alone.
     pub max_bytes: usize,
-    /// Bytes of entries or state from which on a message is large: a replica is sent one such
-    /// message at a time, and only heartbeats beside it.
+    /// Bytes of entries or state above which a message is large. At most one large message to a
+    /// replica is in flight at a time, and only heartbeats are sent to it meanwhile.
     pub large_bytes: usize,
 }
 
@@ -50,61 +51,63 @@
 }
 
 impl ReplicaConfig {
-    /// Returns how long a leader's lease lasts after the send time of the round that renewed it.
+    /// Returns the duration of a leader's lease, counted from the send time of the round that
+    /// renewed it.
     ///
-    /// A quarter less than the time for which followers refuse votes: clocks
-    /// may drift apart by that much and two leases still never overlap.
+    /// It is a quarter shorter than the time for which followers refuse votes, so that two leases
+    /// never overlap even if clocks drift apart by that much.
     pub fn lease(&self) -> Duration {
         self.election_min * 3 / 4
     }
 }
 
-/// What must be durable before anything else that a replica says.
+/// State that must be durable before a replica sends any message that depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Hash, Serialize, Deserialize)]
 pub struct HardState {
-    /// Newest term seen.
+    /// Current term, the newest one seen.
     pub term: Term,
-    /// Vote given in that term.
+    /// Candidate that received this replica's vote in that term.
     pub voted_for: Option<NodeId>,
 }
 
-/// The state up to an entry.
+/// The state of the state machine up to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry that it holds.
+    /// Last entry that the snapshot covers.
     pub end: LogEnd,
-    /// Who took part at that entry.
+    /// Members as of that entry.
     pub members: Members,
-    /// The state, encoded.
+    /// Encoded state.
     #[serde(with = "serde_bytes")]
     pub data: Vec<u8>,
 }
 
-/// What a replica's disk holds when it starts.
+/// What a replica's disk contains at its start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Restored {
-    /// Term and vote.
+    /// Current term and vote.
     pub hard: HardState,
-    /// Newest snapshot; its data may be empty before the first one.
+    /// Newest snapshot. Before the first one, its data is empty.
     pub snapshot: Snapshot,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// What the driver has to do, in this order.
+/// What the driver has to do, in the order of the fields. `hard`, `truncate_from` and `entries` are
+/// made durable together.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// First: make this snapshot durable in place of everything before.
+    /// Snapshot to make durable first. It replaces everything on the disk.
     pub snapshot: Option<Snapshot>,
-    /// With the entries: make term and vote durable.
+    /// Term and vote to make durable.
     pub hard: Option<HardState>,
-    /// With the entries: drop what the disk holds from this position on.
+    /// Index from which on to drop entries on the disk.
     pub truncate_from: Option<Index>,
-    /// Make these entries durable.
+    /// Entries to make durable.
     pub entries: Vec<Entry>,
-    /// Then: send these.
+    /// Messages to send once the above is durable.
     pub messages: Vec<(NodeId, Message)>,
-    /// Then: apply these.
+    /// Entries to apply to the state machine.
     pub committed: Vec<Entry>,
 }
 
@@ -115,7 +118,7 @@
     }
 }
 
-/// What a replica does.
+/// Raft role of a replica.
 #[derive(Debug, Clone)]
 pub(super) enum Role {
     Follower,
@@ -124,31 +127,35 @@
     Leader(Leadership),
 }
 
-/// What a leader knows of another replica.
+/// What a leader knows about another replica.
 #[derive(Debug, Clone)]
 pub(super) struct Progress {
+    /// Index of the next entry to send.
     pub(super) next: Index,
+    /// Last index at which its log is known to match the leader's.
     pub(super) matched: Index,
     /// Send time of the newest round that it answered.
-    pub(super) heard: Option<Instant>,
-    /// When a snapshot was last sent to it.
-    pub(super) installing: Option<Instant>,
-    /// Whether a large message is on its way to it.
-    pub(super) large_on_its_way: bool,
+    pub(super) last_contact: Option<Instant>,
+    /// When a snapshot was sent that is not acknowledged yet.
+    pub(super) snapshot_sent_at: Option<Instant>,
+    /// Whether a large message to it is in flight.
+    pub(super) large_in_flight: bool,
 }
 
+/// State that only a leader has.
 #[derive(Debug, Clone)]
 pub(super) struct Leadership {
     pub(super) progress: BTreeMap<NodeId, Progress>,
-    /// Position of the leader's first entry.
+    /// Index of the leader's first entry.
     pub(super) first_index: Index,
-    /// Last own entry that is durable here.
+    /// Last entry that is durable on the leader's own disk.
     pub(super) persisted: Index,
+    /// Newest round.
     pub(super) round: Round,
     /// Send times of recent rounds.
     pub(super) rounds: VecDeque<(Round, Instant)>,
     pub(super) next_heartbeat: Instant,
-    pub(super) since: Instant,
+    pub(super) elected_at: Instant,
 }
 
 /// One replica of the log.
@@ -162,19 +169,22 @@
     /// Data of the snapshot that `log` starts after, for replicas that are behind.
     pub(super) snapshot_data: Vec<u8>,
     pub(super) members: Members,
+    /// Index of the entry, or snapshot end, that set `members`.
     pub(super) members_index: Index,
     pub(super) commit: Index,
     pub(super) role: Role,
     pub(super) leader: Option<NodeId>,
-    pub(super) started: Instant,
-    pub(super) last_contact: Option<Instant>,
-    pub(super) restart: Restart,
-    pub(super) election_at: Instant,
-    pub(super) out: Ready,
+    pub(super) started_at: Instant,
+    /// Last message from a current leader since the start.
+    pub(super) leader_contact: Option<Instant>,
+    pub(super) restart: RestartState,
+    pub(super) election_deadline: Instant,
+    /// Work for the driver that [`Self::ready`] has not returned yet.
+    pub(super) pending: Ready,
 }
 
 impl Replica {
-    /// Starts a replica from what its disk holds.
+    /// Creates a replica from the contents of its disk.
     pub fn new(
         id: NodeId,
         cfg: ReplicaConfig,
@@ -189,7 +199,7 @@
         let mut replica = Self {
             id,
             cfg,
-            restart: Restart::new(rng.random(), now),
+            restart: RestartState::new(rng.random(), now),
             rng,
             hard,
             commit: log.start.index,
@@ -199,26 +209,26 @@
             members_index,
             role: Role::Follower,
             leader: None,
-            started: now,
-            last_contact: None,
-            election_at: now,
-            out: Ready::default(),
+            started_at: now,
+            leader_contact: None,
+            election_deadline: now,
+            pending: Ready::default(),
         };
-        replica.reset_election(now);
+        replica.reset_election_timer(now);
         replica
     }
 
-    /// Returns the replica's identity.
+    /// Returns the replica's id.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// Returns the newest term seen.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
-    /// Returns who leads, as far as is known.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
@@ -228,62 +238,63 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Returns the role and the votes held, for logs and searches.
+    /// Returns the role, with the votes received or the replication progress, for logs and state
+    /// space exploration.
     pub fn role_label(&self) -> String {
         match &self.role {
             Role::Follower => "follower".to_owned(),
             Role::PreCandidate { granted } => format!("pre-candidate {granted:?}"),
             Role::Candidate { granted } => format!("candidate {granted:?}"),
             Role::Leader(leadership) => {
-                let known = leadership.progress.iter();
-                let known = known.map(|(id, p)| format!("{id}:{}/{}", p.matched, p.next));
-                format!("leader {}", known.collect::<Vec<_>>().join(" "))
+                let progress = leadership.progress.iter();
+                let progress = progress.map(|(id, p)| format!("{id}:{}/{}", p.matched, p.next));
+                format!("leader {}", progress.collect::<Vec<_>>().join(" "))
             }
         }
     }
 
-    /// Returns who takes part, according to the newest entry.
+    /// Returns the newest members, which may not be committed yet.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Returns the last committed position.
+    /// Returns the commit index.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// Returns the last entry.
+    /// Returns the term and index of the last entry.
     pub fn end(&self) -> LogEnd {
         self.log.end()
     }
 
-    /// Returns the kept part of the log.
+    /// Returns the in-memory part of the log.
     pub fn log(&self) -> &Entries {
         &self.log
     }
 
-    /// Takes what has to be done next.
+    /// Takes the pending work of the driver.
     pub fn ready(&mut self) -> Ready {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.pending)
     }
 
-    /// Lets time pass.
+    /// Handles timeouts that have expired by `now`.
     pub fn tick(&mut self, now: Instant) {
-        self.tick_restart(now);
+        self.query_voters(now);
         match &self.role {
             Role::Leader(_) => self.tick_leader(now),
-            _ if now >= self.election_at => self.ask_pre_votes(now),
+            _ if now >= self.election_deadline => self.start_pre_vote(now),
             _ => {}
         }
     }
 
-    /// Takes in a message.
+    /// Processes a message.
     pub fn receive(&mut self, from: NodeId, message: Message, now: Instant) {
-        if message.is_of_a_term() {
-            if self.answer_old_term(from, &message) {
+        if message.has_term() {
+            if self.reject_stale_term(from, &message) {
                 return;
             }
-            self.follow_newer_term(from, &message, now);
+            self.adopt_newer_term(from, &message, now);
         }
         match message {
             Message::AskLead { life } => self.on_ask_lead(from, life, now),
@@ -310,30 +321,31 @@
         }
     }
 
-    /// Adds commands to the log if this replica leads; returns the term and the first position.
+    /// Appends commands to the log if this replica leads. Returns the term and index of the first.
     pub fn propose(&mut self, commands: Vec<Vec<u8>>, now: Instant) -> Option<LogEnd> {
         if !self.leads() || commands.is_empty() {
             return None;
         }
         let first = LogEnd { term: self.hard.term, index: self.log.end().index + 1 };
         for command in commands {
-            self.append_own(Payload::Command(command));
+            self.append_entry(Payload::Command(command));
         }
         self.broadcast(now);
         Some(first)
     }
 
-    /// Notes that the own entries up to `upto` are durable.
-    pub fn persisted(&mut self, upto: Index, now: Instant) {
+    /// Records that the entries up to `index` are durable on this replica's disk.
+    pub fn persisted(&mut self, index: Index, now: Instant) {
         if let Role::Leader(leadership) = &mut self.role {
-            leadership.persisted = leadership.persisted.max(upto);
+            leadership.persisted = leadership.persisted.max(index);
             self.advance_commit(now);
         }
     }
 
-    /// Replaces the entries up to `end` by a snapshot of the state that was applied there.
+    /// Replaces the entries up to `end` by a snapshot whose `data` is the state after `end` was
+    /// applied. Returns `None` if `end` is not committed or is covered by a snapshot already.
     ///
-    /// The driver has to make the snapshot durable itself.
+    /// The driver has to make the returned snapshot durable.
     pub fn compact(&mut self, end: Index, data: Vec<u8>) -> Option<Snapshot> {
         if end <= self.log.start.index || end > self.commit {
             return None;
@@ -348,33 +360,34 @@
     }
 
     pub(super) fn send(&mut self, to: NodeId, message: Message) {
-        self.out.messages.push((to, message));
+        self.pending.messages.push((to, message));
     }
 
-    pub(super) fn set_hard(&mut self, hard: HardState) {
+    pub(super) fn set_hard_state(&mut self, hard: HardState) {
         if self.hard != hard {
             self.hard = hard;
-            self.out.hard = Some(hard);
+            self.pending.hard = Some(hard);
         }
     }
 
-    pub(super) fn reset_election(&mut self, now: Instant) {
-        let [min, max] = self.election_bounds(now);
+    /// Draws a new random election timeout, starting at `now`.
+    pub(super) fn reset_election_timer(&mut self, now: Instant) {
+        let [min, max] = self.election_timeout_range(now);
         let spread = max.saturating_sub(min);
-        self.election_at = now + min + spread.mul_f64(self.rng.random::<f64>());
+        self.election_deadline = now + min + spread.mul_f64(self.rng.random::<f64>());
     }
 
     pub(super) fn become_follower(&mut self, leader: Option<NodeId>, now: Instant) {
         self.role = Role::Follower;
         self.leader = leader;
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
     pub(super) fn is_voter(&self) -> bool {
         self.members.voters.contains_key(&self.id)
     }
 
-    /// Re-reads who takes part after the log changed.
+    /// Updates the cached members after the log changed.
     pub(super) fn refresh_members(&mut self) {
         (self.members, self.members_index) = self.log.members();
     }
--- a/crates/hatchpitch/src/replication/storage.rs
+++ b/crates/hatchpitch/src/replication/storage.rs
@@ -1,13 +1,13 @@
-//! The log's files: one batch a record, synced before anything is acknowledged.
+//! The log's files. Each batch of entries is one record, which is synced before it is acknowledged.
 //!
-//! A record is `length, CRC of the payload, CRC of these two` and the payload.
-//! Each batch is one record, so a crash can only tear the last one. A file
-//! `synced` says, without being synced itself, up to where the log was synced;
-//! a bad record below it, or one that good records follow, is damage and stops
-//! the process. Everything else that is bad at the end is a torn tail and is cut.
+//! A record consists of the payload's length, the payload's CRC, the CRC of these two fields, and
+//! the payload. As each batch is a single record, a crash can only tear the last one. The file
+//! `synced` contains the offset up to which the log was synced; it is not synced itself. An invalid
+//! record below that offset, or one that is followed by valid records, is corruption and stops the
+//! process. Any other invalid record at the end is a torn write and is truncated.
 //!
-//! After a snapshot a new log file begins. Its first record is a header that
-//! names the snapshot, so snapshot and log change over in one rename.
+//! Each snapshot starts a new log file. The file's first record is a header that refers to the
+//! snapshot, so that a single rename replaces both.
 
 use std::fmt;
 use std::io;
@@ -19,38 +19,42 @@
 use super::messages::{Entry, Index, LogEnd, Members, NodeId};
 use super::state::{HardState, Ready, Restored, Snapshot};
 
+/// Name of the log file.
 const LOG: &str = "log";
+/// Name of the file with the offset up to which the log was synced.
 const SYNCED: &str = "synced";
+/// Name of the file with the replica's id.
 const IDENTITY: &str = "identity";
-/// Marks that a log was begun under this identity.
+/// Name of the file that marks that a log was created under this id.
 const BEGUN: &str = "begun";
-const SNAPSHOT: &str = "snapshot-";
-/// Bytes before the payload of a record.
-const HEADER: usize = 12;
-/// Largest payload of a record, in bytes.
-const MAX_RECORD: usize = 128 * 1024 * 1024;
-/// Version of the files' format.
-const FORMAT: u32 = 1;
-
-/// Why the files cannot be used.
+/// Prefix of the names of snapshot files.
+const SNAPSHOT_PREFIX: &str = "snapshot-";
+/// Length of a record's header, in bytes.
+const HEADER_BYTES: usize = 12;
+/// Maximum length of a record's payload, in bytes.
+const MAX_PAYLOAD_BYTES: usize = 128 * 1024 * 1024;
+/// Version of the file format.
+const FORMAT_VERSION: u32 = 1;
+
+/// Why the files cannot be read or written.
 #[derive(Debug)]
 pub enum StorageError {
-    /// The system refused an operation.
+    /// A file operation failed.
     Io {
-        /// What was done.
+        /// Operation that failed.
         step: &'static str,
-        /// On which file.
+        /// File that it was applied to.
         file: String,
         /// The system's error.
         cause: io::Error,
     },
-    /// A file is damaged, and going on could lose what was acknowledged.
+    /// A file is corrupt; continuing could lose acknowledged entries.
     Damaged {
-        /// Which file.
+        /// The corrupt file.
         file: String,
-        /// Where, in bytes.
+        /// Offset of the invalid record, in bytes.
         offset: usize,
-        /// What is wrong.
+        /// Reason why the record is invalid.
         cause: String,
     },
 }
@@ -71,7 +75,7 @@
 
 impl std::error::Error for StorageError {}
 
-/// The first record of a log file.
+/// First record of a log file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct LogHeader {
     format: u32,
@@ -79,7 +83,7 @@
     members: Members,
 }
 
-/// Any further record of a log file.
+/// Any later record of a log file.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 struct Batch {
     hard: Option<HardState>,
@@ -91,47 +95,47 @@
 #[derive(Debug)]
 pub struct Storage {
     disk: Disk,
-    /// Length of the log file up to the last good record.
+    /// Length of the log file up to its last valid record, in bytes.
     end: u64,
     hard: HardState,
     snapshot: LogEnd,
-    /// Records after the header.
+    /// Number of records after the header.
     records: u64,
 }
 
 impl Storage {
-    /// Returns the identity bound to this disk, if it has one.
+    /// Returns the replica id bound to this disk, if it has one.
     ///
     /// # Errors
     ///
-    /// Returns a [`StorageError`] if the file cannot be read or is damaged.
+    /// Returns a [`StorageError`] if the file cannot be read or is corrupt.
     pub fn identity(disk: &Disk) -> Result<Option<NodeId>, StorageError> {
         let Some(bytes) = disk.read(IDENTITY).map_err(|e| io_error("read", disk, IDENTITY, e))?
         else {
             return Ok(None);
         };
-        match read_record::<NodeId>(&bytes, 0) {
+        match decode_record::<NodeId>(&bytes, 0) {
             Ok((id, _)) => Ok(Some(id)),
             Err(cause) => Err(damaged(disk, IDENTITY, 0, cause)),
         }
     }
 
-    /// Binds an identity to this disk.
+    /// Binds a replica id to this disk.
     ///
     /// # Errors
     ///
     /// Returns a [`StorageError`] if the file cannot be written.
     pub fn bind_identity(disk: &Disk, id: NodeId) -> Result<(), StorageError> {
-        let bytes = record(&id);
+        let bytes = encode_record(&id);
         disk.replace(IDENTITY, &bytes).map_err(|e| io_error("write", disk, IDENTITY, e))
     }
 
-    /// Returns whether a log was ever begun here.
+    /// Returns whether this disk contains a log.
     ///
     /// # Errors
     ///
-    /// Returns a [`StorageError`] if the folder cannot be read, or if a log was begun here
-    /// and is gone: under its old identity this box must not begin another one.
+    /// Returns a [`StorageError`] if the folder cannot be read, or if a log was created here and is
+    /// missing: this box must not create another one under its old id.
     pub fn has_log(disk: &Disk) -> Result<bool, StorageError> {
         let names = disk.list().map_err(|e| io_error("list", disk, "", e))?;
         let has = |wanted: &str| names.iter().any(|name| name == wanted);
@@ -141,28 +145,30 @@
         Ok(has(LOG))
     }
 
-    /// Begins an empty log with its first members.
+    /// Creates an empty log with its initial members.
     ///
     /// # Errors
     ///
     /// Returns a [`StorageError`] if the file cannot be written.
     pub fn create(disk: &Disk, members: Members) -> Result<(), StorageError> {
-        let header = LogHeader { format: FORMAT, snapshot: LogEnd { term: 0, index: 0 }, members };
-        disk.replace(LOG, &record(&header)).map_err(|e| io_error("write", disk, LOG, e))
+        let header =
+            LogHeader { format: FORMAT_VERSION, snapshot: LogEnd { term: 0, index: 0 }, members };
+        disk.replace(LOG, &encode_record(&header)).map_err(|e| io_error("write", disk, LOG, e))
     }
 
-    /// Opens a log, cutting a torn tail.
+    /// Opens the log and truncates a torn record at its end.
     ///
     /// # Errors
     ///
-    /// Returns [`StorageError::Damaged`] if anything acknowledged may be lost.
+    /// Returns [`StorageError::Damaged`] if acknowledged entries may be lost, and
+    /// [`StorageError::Io`] if a file operation fails.
     pub fn open(disk: Disk) -> Result<(Self, Restored), StorageError> {
         let bytes = disk.read(LOG).map_err(|e| io_error("read", &disk, LOG, e))?;
         let bytes = bytes.ok_or_else(|| damaged(&disk, LOG, 0, "there is no log".to_owned()))?;
         let synced = synced_end(&disk)?;
         let (header, offset) =
-            read_record::<LogHeader>(&bytes, 0).map_err(|cause| damaged(&disk, LOG, 0, cause))?;
-        if header.format != FORMAT {
+            decode_record::<LogHeader>(&bytes, 0).map_err(|cause| damaged(&disk, LOG, 0, cause))?;
+        if header.format != FORMAT_VERSION {
             let cause = format!("format {} is not known", header.format);
             return Err(damaged(&disk, LOG, 0, cause));
         }
@@ -174,27 +180,27 @@
         let (end, records) = replay(&disk, &bytes, offset, synced, &mut restored)?;
         let storage =
             Self { hard: restored.hard, snapshot: header.snapshot, end: end as u64, records, disk };
-        storage.cut_tail(bytes.len())?;
+        storage.truncate_tail(bytes.len())?;
         if storage.disk.read(BEGUN).is_ok_and(|mark| mark.is_none()) {
-            let marked = storage.disk.replace(BEGUN, &record(&true));
+            let marked = storage.disk.replace(BEGUN, &encode_record(&true));
             marked.map_err(|e| io_error("write", &storage.disk, BEGUN, e))?;
         }
         storage.remove_old_snapshots();
         Ok((storage, restored))
     }
 
-    /// Makes the durable part of a [`Ready`] durable.
+    /// Writes and syncs the durable part of a [`Ready`].
     ///
     /// # Errors
     ///
-    /// Returns a [`StorageError`]; nothing of it may then be acknowledged, and the
-    /// replica has to be started anew from [`Self::open`].
+    /// Returns a [`StorageError`] if a write fails. Nothing in `ready` may then be acknowledged,
+    /// and the replica has to be reopened by [`Self::open`].
     pub fn save(&mut self, ready: &Ready) -> Result<(), StorageError> {
         if let Some(hard) = ready.hard {
             self.hard = hard;
         }
         if let Some(snapshot) = &ready.snapshot {
-            return self.begin(snapshot, &ready.entries);
+            return self.rotate(snapshot, &ready.entries);
         }
         if ready.hard.is_none() && ready.truncate_from.is_none() && ready.entries.is_empty() {
             return Ok(());
@@ -204,61 +210,68 @@
             truncate_from: ready.truncate_from,
             entries: ready.entries.clone(),
         };
-        let bytes = record(&batch);
+        let bytes = encode_record(&batch);
         let written = self.disk.write_at(LOG, self.end, &bytes, true);
         written.map_err(|e| io_error("append to", &self.disk, LOG, e))?;
         self.end += bytes.len() as u64;
         self.records += 1;
-        self.note_synced();
+        self.write_synced_mark();
         Ok(())
     }
 
-    /// Begins a new log file after a snapshot, with the entries that follow it.
+    /// Writes a snapshot and starts a new log file with the entries that follow it.
     ///
     /// # Errors
     ///
-    /// Returns a [`StorageError`]; the old snapshot and log are in force then.
-    pub fn begin(&mut self, snapshot: &Snapshot, entries: &[Entry]) -> Result<(), StorageError> {
+    /// Returns a [`StorageError`] if a write fails; the old snapshot and log remain valid then.
+    pub fn rotate(&mut self, snapshot: &Snapshot, entries: &[Entry]) -> Result<(), StorageError> {
         let name = snapshot_name(snapshot.end);
-        let written = self.disk.replace(&name, &record(snapshot));
+        let written = self.disk.replace(&name, &encode_record(snapshot));
         written.map_err(|e| io_error("write", &self.disk, &name, e))?;
         self.snapshot = snapshot.end;
-        let header =
-            LogHeader { format: FORMAT, snapshot: snapshot.end, members: snapshot.members.clone() };
+        let header = LogHeader {
+            format: FORMAT_VERSION,
+            snapshot: snapshot.end,
+            members: snapshot.members.clone(),
+        };
         let batch = Batch { hard: Some(self.hard), truncate_from: None, entries: entries.to_vec() };
-        let mut bytes = record(&header);
-        bytes.extend(record(&batch));
-        // `synced` belongs to the old file; without it the new one is read just as safely.
+        let mut bytes = encode_record(&header);
+        bytes.extend(encode_record(&batch));
+        // The offset in `synced` refers to the old log file. Opening the new one does not need it.
         self.disk.remove(SYNCED).map_err(|e| io_error("remove", &self.disk, SYNCED, e))?;
         let replaced = self.disk.replace(LOG, &bytes);
         replaced.map_err(|e| io_error("write", &self.disk, LOG, e))?;
         self.end = bytes.len() as u64;
         self.records = 1;
-        self.note_synced();
+        self.write_synced_mark();
         self.remove_old_snapshots();
         Ok(())
     }
 
-    /// Returns the bytes that the log file holds.
+    /// Returns the length of the log file, in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.end
     }
 
-    /// Returns the records that the log file holds after its header.
+    /// Returns the number of records in the log file after its header.
     pub fn log_records(&self) -> u64 {
         self.records
     }
 
-    fn note_synced(&self) {
-        // Only a help against damage; a failure here endangers nothing.
-        if let Err(err) = self.disk.write_at(SYNCED, 0, &record(&self.end), false) {
+    fn write_synced_mark(&self) {
+        // The file only helps to detect corruption, so a failed write is not an error.
+        if let Err(err) = self.disk.write_at(SYNCED, 0, &encode_record(&self.end), false) {
             log::warn!("{}: {err}", self.disk.describe(SYNCED));
         }
     }
 
-    fn cut_tail(&self, len: usize) -> Result<(), StorageError> {
+    fn truncate_tail(&self, len: usize) -> Result<(), StorageError> {
         if len as u64 > self.end {
-            log::warn!("{}: {} torn bytes cut", self.disk.describe(LOG), len as u64 - self.end);
+            log::warn!(
+                "{}: truncated {} bytes of a torn write",
+                self.disk.describe(LOG),
+                len as u64 - self.end
+            );
             let cut = self.disk.write_at(LOG, self.end, &[], true);
             cut.map_err(|e| io_error("cut", &self.disk, LOG, e))?;
         }
@@ -268,7 +281,8 @@
     fn remove_old_snapshots(&self) {
         let keep = snapshot_name(self.snapshot);
         let names = self.disk.list().unwrap_or_default();
-        for name in names.iter().filter(|name| name.starts_with(SNAPSHOT) && **name != keep) {
+        for name in names.iter().filter(|name| name.starts_with(SNAPSHOT_PREFIX) && **name != keep)
+        {
             if let Err(err) = self.disk.remove(name) {
                 log::warn!("{}: {err}", self.disk.describe(name));
             }
@@ -276,7 +290,7 @@
     }
 }
 
-/// Replays the records after the header; returns the end of the last good one and their number.
+/// Replays the records after the header. Returns the end of the last valid one and their number.
 fn replay(
     disk: &Disk,
     bytes: &[u8],
@@ -286,14 +300,14 @@
 ) -> Result<(usize, u64), StorageError> {
     let mut records = 0;
     while offset < bytes.len() {
-        match read_record::<Batch>(bytes, offset) {
+        match decode_record::<Batch>(bytes, offset) {
             Ok((batch, next)) => {
-                apply(batch, restored).map_err(|cause| damaged(disk, LOG, offset, cause))?;
+                apply_batch(batch, restored).map_err(|cause| damaged(disk, LOG, offset, cause))?;
                 offset = next;
                 records += 1;
             }
             Err(cause) if is_torn(bytes, offset, synced) => {
-                log::warn!("{}: last record at byte {offset}: {cause}", disk.describe(LOG));
+                log::warn!("{}: invalid last record at byte {offset}: {cause}", disk.describe(LOG));
                 break;
             }
             Err(cause) => return Err(damaged(disk, LOG, offset, cause)),
@@ -302,14 +316,15 @@
     Ok((offset, records))
 }
 
-/// Returns whether a bad record can only be one that was never synced.
+/// Returns whether an invalid record can only be one that was never synced: it lies after the
+/// synced offset and no valid record follows it.
 fn is_torn(bytes: &[u8], offset: usize, synced: u64) -> bool {
     let was_synced = (offset as u64) < synced;
-    let good_after = (offset + 1..bytes.len()).any(|at| read_record::<Batch>(bytes, at).is_ok());
-    !was_synced && !good_after
+    let valid_after = (offset + 1..bytes.len()).any(|at| decode_record::<Batch>(bytes, at).is_ok());
+    !was_synced && !valid_after
 }
 
-fn apply(batch: Batch, restored: &mut Restored) -> Result<(), String> {
+fn apply_batch(batch: Batch, restored: &mut Restored) -> Result<(), String> {
     if let Some(hard) = batch.hard {
         restored.hard = hard;
     }
@@ -336,23 +351,24 @@
     let bytes = disk.read(&name).map_err(|e| io_error("read", disk, &name, e))?;
     let bytes = bytes.ok_or_else(|| damaged(disk, &name, 0, "it is missing".to_owned()))?;
     let (snapshot, _) =
-        read_record::<Snapshot>(&bytes, 0).map_err(|cause| damaged(disk, &name, 0, cause))?;
+        decode_record::<Snapshot>(&bytes, 0).map_err(|cause| damaged(disk, &name, 0, cause))?;
     Ok(snapshot)
 }
 
 fn synced_end(disk: &Disk) -> Result<u64, StorageError> {
     let bytes = disk.read(SYNCED).map_err(|e| io_error("read", disk, SYNCED, e))?;
-    Ok(bytes.and_then(|b| read_record::<u64>(&b, 0).ok()).map_or(0, |(end, _)| end))
+    Ok(bytes.and_then(|b| decode_record::<u64>(&b, 0).ok()).map_or(0, |(end, _)| end))
 }
 
 fn snapshot_name(end: LogEnd) -> String {
-    format!("{SNAPSHOT}{:020}-{:020}", end.index, end.term)
+    format!("{SNAPSHOT_PREFIX}{:020}-{:020}", end.index, end.term)
 }
 
-fn record<T: Serialize>(value: &T) -> Vec<u8> {
-    let payload = rmp_serde::to_vec_named(value).expect("records always encode");
-    let len = u32::try_from(payload.len()).expect("records are bounded by the proposals");
-    let mut bytes = Vec::with_capacity(HEADER + payload.len());
+/// Encodes a record.
+fn encode_record<T: Serialize>(value: &T) -> Vec<u8> {
+    let payload = rmp_serde::to_vec_named(value).expect("records can always be encoded");
+    let len = u32::try_from(payload.len()).expect("proposals limit the size of records");
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend(len.to_be_bytes());
     bytes.extend(crc32fast::hash(&payload).to_be_bytes());
     bytes.extend(crc32fast::hash(&bytes).to_be_bytes());
@@ -360,22 +376,22 @@
     bytes
 }
 
-/// Reads the record at an offset; returns it and the offset behind it.
-fn read_record<T: DeserializeOwned>(bytes: &[u8], offset: usize) -> Result<(T, usize), String> {
-    let header = bytes.get(offset..offset + HEADER).ok_or("the header is cut off")?;
-    let word = |at: usize| {
+/// Decodes the record at an offset. Returns it and the offset after it.
+fn decode_record<T: DeserializeOwned>(bytes: &[u8], offset: usize) -> Result<(T, usize), String> {
+    let header = bytes.get(offset..offset + HEADER_BYTES).ok_or("the header is cut off")?;
+    let read_u32 = |at: usize| {
         u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
     };
-    if word(8) != crc32fast::hash(&header[..8]) {
+    if read_u32(8) != crc32fast::hash(&header[..8]) {
         return Err("the header's checksum is wrong".to_owned());
     }
-    let len = word(0) as usize;
-    if len > MAX_RECORD {
+    let len = read_u32(0) as usize;
+    if len > MAX_PAYLOAD_BYTES {
         return Err(format!("a record of {len} bytes"));
     }
-    let start = offset + HEADER;
+    let start = offset + HEADER_BYTES;
     let payload = bytes.get(start..start + len).ok_or("the record is cut off")?;
-    if word(4) != crc32fast::hash(payload) {
+    if read_u32(4) != crc32fast::hash(payload) {
         return Err("the checksum is wrong".to_owned());
     }
     let value = rmp_serde::from_slice(payload).map_err(|err| err.to_string())?;
--- a/crates/hatchpitch/src/replication/task.rs
+++ b/crates/hatchpitch/src/replication/task.rs
@@ -1,6 +1,7 @@
-//! Drives a [`Replica`]: takes in everything that waits, syncs once, then sends and applies.
+//! The task that drives a [`Replica`]: it processes all queued inputs, syncs once, then sends
+//! messages and applies committed entries.
 //!
-//! Commands that arrive while a sync is in progress share the next one.
+//! Commands that arrive during a sync are batched into the next one.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,67 +21,67 @@
 use super::transfer;
 use crate::essential::spawn_essential;
 
-/// Path of messages between replicas.
+/// Path of batches of messages between replicas.
 pub const LOG_PATH: &str = "/box/log";
-/// Messages that wait for one replica, none of them large; further ones are dropped.
-const QUEUE: usize = 256;
-/// Large messages that wait for one replica, beside the one that is on its way: only a leader
-/// that lost and won its lead meanwhile asks for another.
-const LARGE_QUEUE: usize = 0;
-/// Time for a batch of messages to be taken.
+/// Capacity of the queue of small messages to one replica. Messages beyond it are dropped.
+const SEND_QUEUE: usize = 256;
+/// Extra capacity of the queue of large messages to one replica, behind the one in flight. A second
+/// one is sent only by a leader that lost and regained leadership in the meantime.
+const LARGE_SEND_QUEUE: usize = 0;
+/// Timeout of a call that delivers a batch or a part of a large message.
 pub(crate) const SEND_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest time between two looks at the clock.
-const TICK: Duration = Duration::from_millis(25);
-/// Bytes of the log file after which a snapshot is taken.
+/// Longest interval between two ticks of the replica.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Length of the log file above which a snapshot is taken, in bytes.
 const SNAPSHOT_BYTES: u64 = 8 * 1024 * 1024;
-/// Records of the log file after which a snapshot is taken.
+/// Number of records in the log file above which a snapshot is taken.
 const SNAPSHOT_RECORDS: u64 = 20_000;
-/// Inputs that one sync takes in at most.
-const MAX_INPUTS: usize = 1_024;
-/// Rest after the disk refused a write, before the replica starts anew.
-const DISK_REST: Duration = Duration::from_secs(1);
+/// Maximum number of queued inputs that are processed before a sync.
+const MAX_INPUTS_PER_SYNC: usize = 1_024;
+/// Delay before each attempt to reopen the log after a failed write.
+const DISK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Applies a committed command and returns its encoded reply.
 pub type Apply = dyn FnMut(&[u8]) -> Vec<u8>;
-/// Replaces the state by an encoded one; `None` means the empty one.
+/// Replaces the state by an encoded one, or by the empty state if `None`.
 pub type Restore = dyn FnMut(Option<&[u8]>) -> anyhow::Result<()>;
 
-/// The state machine that the log drives.
+/// Callbacks of the state machine to which the log is applied.
 pub struct Applier {
-    /// Applies a committed command.
+    /// Applies a committed command and returns its encoded reply.
     pub apply: Box<Apply>,
-    /// Encodes the state.
+    /// Returns the encoded state.
     pub snapshot: Box<dyn FnMut() -> Vec<u8>>,
     /// Replaces the state.
     pub restore: Box<Restore>,
-    /// Called after entries were applied.
+    /// Called after entries or a snapshot were applied.
     pub applied: Box<dyn FnMut()>,
 }
 
-/// Why a command got no reply.
+/// Why a proposed command has no reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposeFailure {
-    /// This replica does not lead; nothing was begun.
+    /// This replica does not lead; the command was not appended.
     NotLeader,
-    /// The command may or may not be carried out.
+    /// It is unknown whether the command was or will be applied. Holds the cause.
     Unknown(String),
 }
 
 type ProposeReply = Result<Vec<u8>, ProposeFailure>;
 
-/// What other tasks ask of the driver.
+/// Input of the driver.
 pub enum Input {
-    /// A message of another replica, and where it takes the answer.
+    /// A message from another replica, and the address to which answers are sent.
     Received(Envelope, SocketAddr),
-    /// A command.
+    /// Proposes an encoded command.
     Propose(Vec<u8>, oneshot::Sender<ProposeReply>),
-    /// The wish to lead no longer; the answer tells whether another replica was asked to lead.
+    /// Hands leadership over; answers whether another replica was asked to lead.
     HandOver(oneshot::Sender<bool>),
-    /// A change of who takes part.
+    /// Proposes a membership change.
     Change(MemberChange, oneshot::Sender<Result<(), ChangeError>>),
 }
 
-/// A replica as other tasks see it.
+/// Handle by which other tasks use a replica.
 #[derive(Clone)]
 pub struct ReplicaHandle {
     tx: mpsc::UnboundedSender<Input>,
@@ -88,11 +89,11 @@
 }
 
 impl ReplicaHandle {
-    /// Has a command carried out.
+    /// Proposes a command and returns its reply once it is committed and applied.
     ///
     /// # Errors
     ///
-    /// Returns a [`ProposeFailure`].
+    /// Returns a [`ProposeFailure`] if this replica does not lead or the outcome is unknown.
     pub async fn propose(&self, command: Vec<u8>) -> ProposeReply {
         let (tx, rx) = oneshot::channel();
         let sent = self.tx.unbounded_send(Input::Propose(command, tx));
@@ -100,11 +101,11 @@
         rx.await.unwrap_or_else(|_| Err(ProposeFailure::Unknown("the log stopped".to_owned())))
     }
 
-    /// Begins a change of who takes part.
+    /// Proposes a membership change. Returns once it is appended, before it is committed.
     ///
     /// # Errors
     ///
-    /// Returns a [`ChangeError`]; nothing was begun then.
+    /// Returns a [`ChangeError`] if the change was rejected; nothing is appended then.
     pub async fn change_members(&self, change: MemberChange) -> Result<(), ChangeError> {
         let (tx, rx) = oneshot::channel();
         let sent = self.tx.unbounded_send(Input::Change(change, tx));
@@ -112,38 +113,39 @@
         rx.await.unwrap_or(Err(ChangeError::NotLeader))
     }
 
-    /// Gives the lead to another replica, if this one leads; returns whether one was asked.
+    /// Hands leadership over to another replica, if this one leads; returns whether one was asked.
     pub async fn hand_over(&self) -> bool {
         let (tx, rx) = oneshot::channel();
         let sent = self.tx.unbounded_send(Input::HandOver(tx));
         sent.is_ok() && rx.await.unwrap_or(false)
     }
 
-    /// Passes on messages of another box.
+    /// Queues messages from another box.
     pub fn receive(&self, batch: LogBatch) {
         for envelope in batch.envelopes {
-            // A closed channel means that the process stops; the sender will ask another box.
+            // The channel is closed only while the process stops; the sender will use another box.
             let _ = self.tx.unbounded_send(Input::Received(envelope, batch.reply_to));
         }
     }
 
-    /// Looks at the replica.
+    /// Calls a function with the replica's current state.
     pub fn with<T>(&self, read: impl FnOnce(&Replica) -> T) -> T {
         read(&self.shared.borrow())
     }
 
-    /// Returns whether this replica may act as the only leader now.
+    /// Returns whether this replica holds the leader lease now.
     pub fn holds_lease(&self) -> bool {
         self.with(|replica| replica.lease_until().is_some_and(|until| clock::now() < until))
     }
 }
 
-struct Waiting {
+/// A proposed command whose entry is not applied yet.
+struct PendingProposal {
     term: Term,
     reply: oneshot::Sender<ProposeReply>,
 }
 
-/// The channels of the tasks that send to one replica.
+/// Channels to the tasks that send messages to one replica.
 struct Senders {
     small: mpsc::Sender<Envelope>,
     large: mpsc::Sender<Envelope>,
@@ -156,28 +158,30 @@
     replica: Rc<RefCell<Replica>>,
     cfg: ReplicaConfig,
     applier: Applier,
+    /// Index of the last applied entry.
     applied: Index,
-    waiting: BTreeMap<Index, Waiting>,
+    /// Proposals by the index of their entry.
+    proposals: BTreeMap<Index, PendingProposal>,
     senders: BTreeMap<NodeId, Senders>,
-    /// Tells of large messages that arrived or were lost.
-    large_ended: mpsc::UnboundedReceiver<NodeId>,
-    large_ended_tx: mpsc::UnboundedSender<NodeId>,
-    /// Term and leader that were logged last.
-    logged: Option<(Term, Option<NodeId>)>,
-    /// Whether the line about leases of before the start was written.
+    /// Receivers of large messages that were delivered or lost.
+    large_done: mpsc::UnboundedReceiver<NodeId>,
+    large_done_tx: mpsc::UnboundedSender<NodeId>,
+    /// Term and leader of the last log line about them.
+    logged_leader: Option<(Term, Option<NodeId>)>,
+    /// Whether it was logged that no lease from before the start is in force.
     logged_no_lease: bool,
-    /// Where replicas took answers last, for those that the members do not name.
-    heard_from: BTreeMap<NodeId, SocketAddr>,
+    /// Newest reply address of each sender, for replicas that are not in the members.
+    reply_addrs: BTreeMap<NodeId, SocketAddr>,
     client: BoxClient,
     own_addr: SocketAddr,
 }
 
-/// Opens the log and starts its driver, which ends with `stop`.
+/// Opens the log and spawns its driver, which runs until `stop` is set.
 ///
 /// # Errors
 ///
-/// Returns a [`StorageError`] if the log cannot be opened, or the state's error
-/// if its snapshot does not decode.
+/// Returns a [`StorageError`] if the log cannot be opened, or the state machine's error if the
+/// snapshot cannot be decoded.
 pub fn start(
     disk: Disk,
     id: NodeId,
@@ -190,7 +194,7 @@
     let (storage, replica, applied) = open(&disk, id, cfg, &mut applier)?;
     let replica = Rc::new(RefCell::new(replica));
     let (tx, rx) = mpsc::unbounded();
-    let (large_ended_tx, large_ended) = mpsc::unbounded();
+    let (large_done_tx, large_done) = mpsc::unbounded();
     let handle = ReplicaHandle { tx, shared: replica.clone() };
     let driver = Driver {
         id,
@@ -200,13 +204,13 @@
         cfg,
         applier,
         applied,
-        waiting: BTreeMap::new(),
+        proposals: BTreeMap::new(),
         senders: BTreeMap::new(),
-        large_ended,
-        large_ended_tx,
-        logged: None,
+        large_done,
+        large_done_tx,
+        logged_leader: None,
         logged_no_lease: false,
-        heard_from: BTreeMap::new(),
+        reply_addrs: BTreeMap::new(),
         client,
         own_addr,
     };
@@ -232,45 +236,45 @@
 impl Driver {
     async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Input>, stop: Stop) {
         while !stop.is_set() {
-            let first = compio::time::timeout(TICK, rx.next()).await;
+            let first = compio::time::timeout(TICK_INTERVAL, rx.next()).await;
             match first {
-                Ok(Some(input)) => self.take(input),
+                Ok(Some(input)) => self.handle_input(input),
                 Ok(None) => return,
                 Err(_) => {}
             }
-            for _ in 0..MAX_INPUTS {
+            for _ in 0..MAX_INPUTS_PER_SYNC {
                 match rx.try_recv() {
-                    Ok(input) => self.take(input),
+                    Ok(input) => self.handle_input(input),
                     Err(_) => break,
                 }
             }
-            while let Ok(id) = self.large_ended.try_recv() {
-                self.replica.borrow_mut().large_ended(id);
+            while let Ok(id) = self.large_done.try_recv() {
+                self.replica.borrow_mut().large_done(id);
             }
             self.replica.borrow_mut().tick(clock::now());
-            if let Err(err) = self.settle() {
-                log::error!("{err}; the replica starts anew");
-                self.start_anew().await;
+            if let Err(err) = self.process_ready() {
+                log::error!("{err}; reopening the log");
+                self.reopen().await;
             }
-            self.log_lead();
+            self.log_leader_change();
         }
     }
 
-    /// Writes a line when this replica learns of another leader, or of none.
-    fn log_lead(&mut self) {
+    /// Logs a change of the term or the known leader.
+    fn log_leader_change(&mut self) {
         let replica = self.replica.borrow();
         let (term, leader) = (replica.term(), replica.leader());
-        if !self.logged_no_lease && replica.knows_of_no_lease() {
+        if !self.logged_no_lease && replica.rules_out_leases() {
             self.logged_no_lease = true;
             log::info!(
                 term = term, voters = replica.members().voters.len();
                 "no lease of before the start is in force: no voter leads"
             );
         }
-        if self.logged == Some((term, leader)) {
+        if self.logged_leader == Some((term, leader)) {
             return;
         }
-        self.logged = Some((term, leader));
+        self.logged_leader = Some((term, leader));
         let leader = leader.map_or_else(String::new, |id| format!("{id:016x}"));
         log::info!(
             term = term, leader = leader.as_str(), leads = replica.leads(),
@@ -279,24 +283,24 @@
         );
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = clock::now();
         match input {
             Input::Received(Envelope { from, to, message }, reply_to) if to == self.id => {
-                self.heard_from.insert(from, reply_to);
+                self.reply_addrs.insert(from, reply_to);
                 self.replica.borrow_mut().receive(from, message, now);
             }
             Input::Received(Envelope { to, .. }, _) => {
-                log::debug!("a message for identity {to} is dropped");
+                log::debug!("dropped a message for replica {to}: this is another replica");
             }
             Input::Propose(command, reply) => self.propose(command, reply, now),
             Input::HandOver(reply) => {
-                let handed = self.replica.borrow_mut().hand_over(now);
-                let _ = reply.send(handed);
+                let was_asked = self.replica.borrow_mut().hand_over(now);
+                let _ = reply.send(was_asked);
             }
             Input::Change(change, reply) => {
-                let begun = self.replica.borrow_mut().change_members(&change, now);
-                let _ = reply.send(begun);
+                let result = self.replica.borrow_mut().change_members(&change, now);
+                let _ = reply.send(result);
             }
         }
     }
@@ -305,7 +309,7 @@
         let first = self.replica.borrow_mut().propose(vec![command], now);
         match first {
             Some(at) => {
-                self.waiting.insert(at.index, Waiting { term: at.term, reply });
+                self.proposals.insert(at.index, PendingProposal { term: at.term, reply });
             }
             None => {
                 let _ = reply.send(Err(ProposeFailure::NotLeader));
@@ -313,8 +317,9 @@
         }
     }
 
-    /// Carries out what the replica asks for until it asks for nothing.
-    fn settle(&mut self) -> Result<(), StorageError> {
+    /// Saves, sends and applies the replica's pending work until there is none, then compacts the
+    /// log if it is large.
+    fn process_ready(&mut self) -> Result<(), StorageError> {
         loop {
             let (ready, end) = {
                 let mut replica = self.replica.borrow_mut();
@@ -325,13 +330,13 @@
             }
             self.storage.save(&ready)?;
             self.replica.borrow_mut().persisted(end, clock::now());
-            self.finish(ready);
+            self.send_and_apply(ready);
         }
-        self.drop_lost_proposals();
+        self.fail_lost_proposals();
         self.compact()
     }
 
-    fn finish(&mut self, ready: Ready) {
+    fn send_and_apply(&mut self, ready: Ready) {
         let Ready { snapshot, messages, committed, .. } = ready;
         if let Some(snapshot) = snapshot {
             self.restore(&snapshot);
@@ -349,8 +354,8 @@
 
     fn restore(&mut self, snapshot: &Snapshot) {
         if let Err(err) = (self.applier.restore)(Some(&snapshot.data)) {
-            // The state cannot be read: going on would answer from an older one.
-            log::error!("snapshot at {}: {err:#}", snapshot.end.index);
+            // Continuing would serve reads from an older state.
+            log::error!("cannot restore the snapshot at index {}: {err:#}", snapshot.end.index);
             std::process::exit(1);
         }
         self.applied = snapshot.end.index;
@@ -366,24 +371,25 @@
             Payload::Command(command) => (self.applier.apply)(&command),
             Payload::Noop | Payload::Members(_) => Vec::new(),
         };
-        if let Some(waiting) = self.waiting.remove(&entry.index) {
-            let same = waiting.term == entry.term;
+        if let Some(proposal) = self.proposals.remove(&entry.index) {
+            let same_term = proposal.term == entry.term;
             let lost = || ProposeFailure::Unknown("another leader's entry took its place".into());
-            let _ = waiting.reply.send(if same { Ok(reply) } else { Err(lost()) });
+            let _ = proposal.reply.send(if same_term { Ok(reply) } else { Err(lost()) });
         }
     }
 
-    /// Tells proposers that the lead was lost; their commands may still be carried out.
-    fn drop_lost_proposals(&mut self) {
-        if self.waiting.is_empty() || self.replica.borrow().leads() {
+    /// Fails all pending proposals once leadership is lost. Their commands may still be applied.
+    fn fail_lost_proposals(&mut self) {
+        if self.proposals.is_empty() || self.replica.borrow().leads() {
             return;
         }
-        for (_, waiting) in std::mem::take(&mut self.waiting) {
+        for (_, proposal) in std::mem::take(&mut self.proposals) {
             let lost = ProposeFailure::Unknown("this box lost the lead".to_owned());
-            let _ = waiting.reply.send(Err(lost));
+            let _ = proposal.reply.send(Err(lost));
         }
     }
 
+    /// Replaces the applied entries by a snapshot if the log file is large.
     fn compact(&mut self) -> Result<(), StorageError> {
         let large = self.storage.log_bytes() > SNAPSHOT_BYTES
             || self.storage.log_records() > SNAPSHOT_RECORDS;
@@ -393,18 +399,19 @@
         let data = (self.applier.snapshot)();
         let mut replica = self.replica.borrow_mut();
         let Some(snapshot) = replica.compact(self.applied, data) else { return Ok(()) };
-        log::info!("snapshot at {}", snapshot.end.index);
-        self.storage.begin(&snapshot, replica.log().from(snapshot.end.index + 1))
+        log::info!("took a snapshot at index {}", snapshot.end.index);
+        self.storage.rotate(&snapshot, replica.log().from(snapshot.end.index + 1))
     }
 
-    /// After the disk refused a write: forgets everything that is not durable.
-    async fn start_anew(&mut self) {
-        for (_, waiting) in std::mem::take(&mut self.waiting) {
+    /// Recovers from a failed write: discards everything that is not durable and reopens the log.
+    /// Retries until that succeeds.
+    async fn reopen(&mut self) {
+        for (_, proposal) in std::mem::take(&mut self.proposals) {
             let failed = ProposeFailure::Unknown("the disk refused a write".to_owned());
-            let _ = waiting.reply.send(Err(failed));
+            let _ = proposal.reply.send(Err(failed));
         }
         loop {
-            compio::time::sleep(DISK_REST).await;
+            compio::time::sleep(DISK_RETRY_DELAY).await;
             match open(&self.disk, self.id, self.cfg, &mut self.applier) {
                 Ok((storage, replica, applied)) => {
                     self.storage = storage;
@@ -412,7 +419,7 @@
                     *self.replica.borrow_mut() = replica;
                     return;
                 }
-                Err(err) => log::error!("{err:#}"),
+                Err(err) => log::error!("cannot reopen the log: {err:#}"),
             }
         }
     }
@@ -420,46 +427,46 @@
     fn send(&mut self, to: NodeId, message: Message) {
         let envelope = Envelope { from: self.id, to, message };
         let member = self.replica.borrow().members().get(to).map(|peer| peer.boxes_addr);
-        let Some(addr) = member.or_else(|| self.heard_from.get(&to).copied()) else { return };
+        let Some(addr) = member.or_else(|| self.reply_addrs.get(&to).copied()) else { return };
         let is_large = envelope.message.payload_len() > self.cfg.large_bytes;
         let senders = self.senders.entry(to).or_insert_with(|| {
             let (client, reply_to) = (self.client.clone(), self.own_addr);
-            let (small, small_rx) = mpsc::channel(QUEUE);
-            let (large, large_rx) = mpsc::channel(LARGE_QUEUE);
-            let sending = send_small(client.clone(), reply_to, addr, small_rx);
-            compio::runtime::spawn(sending).detach();
-            let sending = send_large(client, reply_to, addr, large_rx, self.large_ended_tx.clone());
-            compio::runtime::spawn(sending).detach();
+            let (small, small_rx) = mpsc::channel(SEND_QUEUE);
+            let (large, large_rx) = mpsc::channel(LARGE_SEND_QUEUE);
+            let task = send_small(client.clone(), reply_to, addr, small_rx);
+            compio::runtime::spawn(task).detach();
+            let task = send_large(client, reply_to, addr, large_rx, self.large_done_tx.clone());
+            compio::runtime::spawn(task).detach();
             Senders { small, large }
         });
         let sender = if is_large { &mut senders.large } else { &mut senders.small };
         if let Err(err) = sender.try_send(envelope)
             && err.is_full()
         {
-            log::debug!("messages to {to} are dropped: its box does not keep up");
+            log::debug!("dropped a message to replica {to}: its send queue is full");
             if is_large {
-                // The driver that would receive it is this one.
-                let _ = self.large_ended_tx.unbounded_send(to);
+                // The receiver of this channel belongs to this driver, so sending cannot fail.
+                let _ = self.large_done_tx.unbounded_send(to);
             }
         }
     }
 }
 
-/// Sends the large messages for one replica, one after the other, and tells `ended` when each has
-/// arrived or was lost; ends with its channel.
+/// Sends large messages to one replica, one at a time, and reports to `done` when each was
+/// delivered or lost. Returns when `rx` is closed.
 async fn send_large(
     client: BoxClient,
     reply_to: SocketAddr,
     addr: SocketAddr,
     mut rx: mpsc::Receiver<Envelope>,
-    ended: mpsc::UnboundedSender<NodeId>,
+    done: mpsc::UnboundedSender<NodeId>,
 ) {
     while let Some(envelope) = rx.next().await {
-        let (from, to, begun) = (envelope.from, envelope.to, clock::now());
+        let (from, to, started) = (envelope.from, envelope.to, clock::now());
         let bytes = envelope.message.payload_len();
         let batch = LogBatch { reply_to, envelopes: vec![envelope] };
         let sent = transfer::send(&client, addr, from, rand::random(), batch).await;
-        let (peer, took_ms) = (addr.to_string(), clock::since(begun).as_millis());
+        let (peer, took_ms) = (addr.to_string(), clock::since(started).as_millis());
         match sent {
             Ok(arrived) => log::info!(
                 peer = peer.as_str(), bytes = bytes, took_ms = took_ms, arrived = arrived;
@@ -470,12 +477,12 @@
                 "large message of the log: {err}"
             ),
         }
-        // A closed channel means that the log stops.
-        let _ = ended.unbounded_send(to);
+        // The channel is closed only if the driver has ended.
+        let _ = done.unbounded_send(to);
     }
 }
 
-/// Sends the small messages for one replica in batches, one call at a time; ends with its channel.
+/// Sends small messages to one replica in batches, one call at a time. Returns when `rx` is closed.
 async fn send_small(
     client: BoxClient,
     reply_to: SocketAddr,
@@ -489,7 +496,7 @@
         }
         let batch = LogBatch { reply_to, envelopes };
         if let Err(err) = client.call::<_, ()>(addr, LOG_PATH, &batch, SEND_TIMEOUT).await {
-            log::debug!("{} messages of the log: {err}", batch.envelopes.len());
+            log::debug!("{} log messages not delivered: {err}", batch.envelopes.len());
         }
     }
 }
--- a/crates/hatchpitch/src/replication/transfer.rs
+++ b/crates/hatchpitch/src/replication/transfer.rs
@@ -1,7 +1,7 @@
-//! Carries a large message between replicas in parts.
+//! Transfers a large message between replicas in parts.
 //!
-//! Each part is a call of its own with its own time, so that a message may take as long as the
-//! link needs for it, and heartbeats pass between its parts.
+//! Each part is a separate call with its own timeout. A message may therefore take as long as the
+//! link needs, and heartbeats can be sent between its parts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,96 +14,101 @@
 use super::messages::{LogBatch, NodeId};
 use super::task::SEND_TIMEOUT;
 
-/// Path of parts of a large message.
+/// Path of [`LogPart`] calls.
 pub const PART_PATH: &str = "/box/log-part";
-/// Bytes of a part: a link of 10 Mbit/s passes it in 52 ms, far within the time for a call.
+/// Size of a part in bytes. A link of 10 Mbit/s transfers it in 52 ms, far below the call timeout.
 const PART_BYTES: usize = 64 * 1024;
-/// Largest message that is put together, in bytes: as much as a message in one piece may have.
-const MAX_BYTES: u64 = 64 * 1024 * 1024;
-/// Messages that are put together at one time: one for each other replica of a large core.
-const MAX_OPEN: usize = 16;
-/// Time without a part after which a message is given up: a few calls that failed.
-const GIVE_UP: Duration = Duration::from_secs(5);
+/// Maximum size of a reassembled message, in bytes; the same limit applies to undivided messages.
+const MAX_MESSAGE_BYTES: u64 = 64 * 1024 * 1024;
+/// Maximum number of messages under reassembly: one per peer in a large group of control boxes.
+const MAX_PARTIALS: usize = 16;
+/// Time without a new part after which an incomplete message is discarded: a few failed calls.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Number of a message among those of one sender.
+/// Id of a message, distinct among those of one sender.
 pub type TransferId = u64;
 
 /// A part of an encoded [`LogBatch`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPart {
-    /// Sender.
+    /// Id of the sender.
     pub from: NodeId,
-    /// The message.
+    /// Id of the message.
     pub transfer: TransferId,
-    /// Length of the whole message, in bytes.
+    /// Length of the complete message, in bytes.
     pub total: u64,
-    /// Where the part begins.
+    /// Offset of the part in the message, in bytes.
     pub offset: u64,
-    /// The part.
+    /// Content of the part.
     pub bytes: ByteBuf,
 }
 
-/// The answer to a [`LogPart`].
+/// Answer to a [`LogPart`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartAnswer {
-    /// It was taken.
+    /// The part was accepted.
     Taken,
-    /// It is not the next part of a message that is put together here; nothing of it is kept.
+    /// The part was rejected: it is not the next one of a message under reassembly, or it exceeds a
+    /// limit. Any incomplete message of the sender may have been discarded.
     Refused,
 }
 
-/// A message that is being put together.
+/// A message under reassembly.
 #[derive(Debug)]
-struct Open {
+struct Partial {
     transfer: TransferId,
     total: usize,
     bytes: Vec<u8>,
-    touched: Instant,
+    last_part_at: Instant,
 }
 
-/// The messages that are being put together at one replica.
+/// Reassembles large messages from their parts; holds at most one message per sender.
 #[derive(Debug, Default)]
 pub struct Reassembler {
-    open: BTreeMap<NodeId, Open>,
+    partials: BTreeMap<NodeId, Partial>,
 }
 
 impl Reassembler {
-    /// Takes in a part; returns the whole message with its last one.
+    /// Adds a part. Returns the complete message together with the answer to its last part.
     pub fn take(&mut self, part: LogPart, now: Instant) -> (PartAnswer, Option<Vec<u8>>) {
-        self.open.retain(|_, open| now.duration_since(open.touched) < GIVE_UP);
+        self.partials.retain(|_, partial| now.duration_since(partial.last_part_at) < IDLE_TIMEOUT);
         let LogPart { from, transfer, total, offset, bytes } = part;
         if offset == 0 {
-            let may_begin =
-                total <= MAX_BYTES && (self.open.len() < MAX_OPEN || self.open.contains_key(&from));
-            if !may_begin {
+            let accepted = total <= MAX_MESSAGE_BYTES
+                && (self.partials.len() < MAX_PARTIALS || self.partials.contains_key(&from));
+            if !accepted {
                 return (PartAnswer::Refused, None);
             }
-            let open = Open { transfer, total: total as usize, bytes: Vec::new(), touched: now };
-            self.open.insert(from, open);
+            let partial =
+                Partial { transfer, total: total as usize, bytes: Vec::new(), last_part_at: now };
+            self.partials.insert(from, partial);
         }
-        let next = self.open.get_mut(&from).filter(|open| {
-            let (held, added) = (open.bytes.len(), bytes.len());
-            open.transfer == transfer && held as u64 == offset && held + added <= open.total
+        let next = self.partials.get_mut(&from).filter(|partial| {
+            let (received, added) = (partial.bytes.len(), bytes.len());
+            partial.transfer == transfer
+                && received as u64 == offset
+                && received + added <= partial.total
         });
-        let Some(open) = next else {
-            self.open.remove(&from);
+        let Some(partial) = next else {
+            self.partials.remove(&from);
             return (PartAnswer::Refused, None);
         };
-        open.bytes.extend_from_slice(&bytes);
-        open.touched = now;
-        if open.bytes.len() < open.total {
+        partial.bytes.extend_from_slice(&bytes);
+        partial.last_part_at = now;
+        if partial.bytes.len() < partial.total {
             return (PartAnswer::Taken, None);
         }
-        let whole = self.open.remove(&from).map(|open| open.bytes);
-        (PartAnswer::Taken, whole)
+        let message = self.partials.remove(&from).map(|partial| partial.bytes);
+        (PartAnswer::Taken, message)
     }
 }
 
-/// Sends a message part by part.
+/// Sends a message in parts. Returns whether the receiver accepted all of them; stops at the first
+/// one that it refuses.
 ///
 /// # Errors
 ///
-/// Returns the error of the first part that did not arrive; `Ok(false)` if one was refused.
+/// Returns the error of the first failed call.
 pub async fn send(
     client: &BoxClient,
     addr: SocketAddr,
@@ -111,7 +116,7 @@
     transfer: TransferId,
     batch: LogBatch,
 ) -> Result<bool, CallError> {
-    let message = rmp_serde::to_vec_named(&batch).expect("messages of the log always encode");
+    let message = rmp_serde::to_vec_named(&batch).expect("log messages can always be encoded");
     drop(batch);
     let total = message.len() as u64;
     let mut offset = 0;
--- a/crates/hatchpitch/src/replication/verify.rs
+++ b/crates/hatchpitch/src/replication/verify.rs
@@ -1,4 +1,4 @@
-//! Checks the invariants of the log, of one replica and of a group.
+//! Checks the invariants of one replica and of a group of replicas.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use super::messages::{Entry, Index, NodeId, Term};
 use super::state::Replica;
 
-/// Checks one replica on its own.
+/// Checks the invariants of a single replica.
 ///
 /// # Errors
 ///
@@ -36,16 +36,18 @@
     Ok(())
 }
 
-/// Follows a group of replicas over time.
+/// Checks the invariants of a group of replicas over time.
 #[derive(Debug, Default, Clone)]
 pub struct GroupVerifier {
+    /// Leader of each term.
     leaders: BTreeMap<Term, NodeId>,
+    /// Entry committed at each index.
     committed: BTreeMap<Index, Entry>,
 }
 
 impl GroupVerifier {
-    /// Checks all replicas after a step: one leader a term, equal committed
-    /// entries, at most one lease at a time, leaders that hold everything committed.
+    /// Checks all replicas after a step: there is at most one leader per term and one lease at a
+    /// time, committed entries are equal, and a new leader holds every committed entry.
     ///
     /// # Errors
     ///
@@ -60,15 +62,15 @@
             self.observe_leader(replica)?;
             self.observe_committed(replica)?;
         }
-        let leased = replicas.filter(|r| r.lease_until().is_some_and(|until| now < until));
-        let leased: Vec<NodeId> = leased.map(|r| r.id).collect();
-        if leased.len() > 1 {
-            return Err(format!("replicas {leased:?} hold a lease at one time"));
+        let lease_holders = replicas.filter(|r| r.lease_until().is_some_and(|until| now < until));
+        let lease_holders: Vec<NodeId> = lease_holders.map(|r| r.id).collect();
+        if lease_holders.len() > 1 {
+            return Err(format!("replicas {lease_holders:?} hold a lease at the same time"));
         }
         Ok(())
     }
 
-    /// Returns how many entries are known to be committed.
+    /// Returns the number of committed entries seen so far.
     pub fn committed(&self) -> usize {
         self.committed.len()
     }
@@ -79,7 +81,11 @@
         }
         let first = *self.leaders.entry(replica.term()).or_insert(replica.id);
         if first != replica.id {
-            return Err(format!("{first} and {} lead term {}", replica.id, replica.term()));
+            return Err(format!(
+                "replicas {first} and {} both lead term {}",
+                replica.id,
+                replica.term()
+            ));
         }
         let newest = self.leaders.last_key_value().map(|(term, _)| *term);
         if newest != Some(replica.term()) {
@@ -88,7 +94,9 @@
         let missing = self.committed.range(replica.log.start.index + 1..);
         let missing = missing.filter(|(_, e)| e.term < replica.term());
         match missing.clone().find(|(index, entry)| replica.log.get(**index) != Some(entry)) {
-            Some((index, _)) => Err(format!("leader {} lacks committed {index}", replica.id)),
+            Some((index, _)) => {
+                Err(format!("leader {} lacks the committed entry {index}", replica.id))
+            }
             None => Ok(()),
         }
     }
@@ -98,7 +106,7 @@
         for entry in entries {
             let first = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
             if first != entry {
-                return Err(format!("two entries were committed at {}", entry.index));
+                return Err(format!("different entries were committed at index {}", entry.index));
             }
         }
         Ok(())
--- a/crates/hatchpitch/tests/replication/group.rs
+++ b/crates/hatchpitch/tests/replication/group.rs
@@ -199,7 +199,7 @@
         };
         let commit = replica.commit();
         if let Some(snapshot) = replica.compact(commit, vec![0; 16])
-            && storage.begin(&snapshot, replica.log().from(commit + 1)).is_err()
+            && storage.rotate(&snapshot, replica.log().from(commit + 1)).is_err()
         {
             node.replica = None;
             node.storage = None;
@@ -222,7 +222,7 @@
             let is_large = |m: &Message| m.payload_len() > self.cfg.large_bytes;
             let flies = |f: &Flying| f.from == from && f.to == to && is_large(&f.message);
             if !self.flying.iter().any(flies) {
-                self.step(from, |replica, _| replica.large_ended(to));
+                self.step(from, |replica, _| replica.large_done(to));
             }
         }
     }
@@ -272,7 +272,7 @@
         self.cut.clear();
         let down: Vec<NodeId> = self.nodes.keys().copied().collect();
         for id in down {
-            self.nodes[&id].disk.borrow_mut().mend();
+            self.nodes[&id].disk.borrow_mut().clear_failure();
             if self.nodes[&id].replica.is_none() {
                 self.start(id);
             }
--- a/crates/hatchpitch/tests/replication/restarts.rs
+++ b/crates/hatchpitch/tests/replication/restarts.rs
@@ -163,7 +163,7 @@
         let answer = former.clone();
         group.step(others[0], |replica, now| replica.receive(from, answer, now));
     }
-    assert!(!group.replica(others[0]).knows_of_no_lease());
+    assert!(!group.replica(others[0]).rules_out_leases());
 }
 
 /// Restarts one, two or all replicas, with cuts and delays in between.
--- a/crates/hatchpitch/tests/replication/schedules.rs
+++ b/crates/hatchpitch/tests/replication/schedules.rs
@@ -61,7 +61,7 @@
     match u.int_in_range(0..=39)? {
         0 if group.nodes[&id].replica.is_some() => group.crash(id, u.int_in_range(0..=64)?),
         1..=4 if group.nodes[&id].replica.is_none() => {
-            group.nodes[&id].disk.borrow_mut().mend();
+            group.nodes[&id].disk.borrow_mut().clear_failure();
             group.start(id);
         }
         5 | 6 => {
--- a/crates/hatchpitch/tests/replication/storage.rs
+++ b/crates/hatchpitch/tests/replication/storage.rs
@@ -71,13 +71,13 @@
     let length = storage.log_bytes() as usize;
     drop(storage);
     for at in 0..length {
-        fake.borrow_mut().damage("log", at);
+        fake.borrow_mut().corrupt("log", at);
         let opened = Storage::open(disk.clone());
         assert!(matches!(opened, Err(StorageError::Damaged { .. })), "byte {at}");
-        fake.borrow_mut().damage("log", at);
+        fake.borrow_mut().corrupt("log", at);
     }
     let text = {
-        fake.borrow_mut().damage("log", length - 1);
+        fake.borrow_mut().corrupt("log", length - 1);
         Storage::open(disk).unwrap_err().to_string()
     };
     assert!(text.contains("hatchpitch repair"), "{text}");
@@ -91,7 +91,7 @@
     fake.borrow_mut().fail_in(0, true);
     let refused = storage.save(&batch(3, 2)).unwrap_err();
     assert!(matches!(refused, StorageError::Io { .. }), "{refused}");
-    fake.borrow_mut().mend();
+    fake.borrow_mut().clear_failure();
     let (mut storage, restored) = Storage::open(disk).unwrap();
     assert_eq!(restored.entries.len(), 2);
     storage.save(&batch(3, 1)).unwrap();
@@ -109,7 +109,7 @@
             members: voters([1]),
             data: vec![9; 100],
         };
-        let begun = storage.begin(&snapshot, &[entry(4)]);
+        let begun = storage.rotate(&snapshot, &[entry(4)]);
         fake.borrow_mut().crash(0);
         let (_, restored) = Storage::open(disk).unwrap();
         let end = restored.snapshot.end.index + restored.entries.len() as u64;
--- a/crates/hatchpitch/tests/replication/transfer.rs
+++ b/crates/hatchpitch/tests/replication/transfer.rs
@@ -20,7 +20,7 @@
 fn parts_in_order_make_the_message_and_nothing_else_does() {
     arbtest::arbtest(|u: &mut Unstructured<'_>| {
         let now = Instant::now();
-        let mut assembly = Reassembler::default();
+        let mut reassembler = Reassembler::default();
         // What each of two senders sends now, and how much of it has arrived.
         let mut sent: [(TransferId, Vec<u8>, usize); 2] = Default::default();
         for step in 0..u.int_in_range(1..=60)? {
@@ -35,13 +35,13 @@
             let next = part(from as NodeId, *transfer, message, *arrived, len);
             if wrong && next.offset > 1 {
                 let late = LogPart { offset: next.offset - 1, ..next };
-                assert_eq!(assembly.take(late, now), (PartAnswer::Refused, None));
+                assert_eq!(reassembler.take(late, now), (PartAnswer::Refused, None));
                 *arrived = message.len();
                 continue;
             }
             *arrived = (*arrived + len).min(message.len());
             let whole = (*arrived == message.len()).then(|| message.clone());
-            assert_eq!(assembly.take(next, now), (PartAnswer::Taken, whole));
+            assert_eq!(reassembler.take(next, now), (PartAnswer::Taken, whole));
         }
         Ok(())
     });
@@ -50,16 +50,16 @@
 #[test]
 fn what_is_put_together_is_bounded() {
     let now = Instant::now();
-    let mut assembly = Reassembler::default();
+    let mut reassembler = Reassembler::default();
     let begin = |from| part(from, 1, b"a message", 0, 4);
     for from in 0..16 {
-        assert_eq!(assembly.take(begin(from), now).0, PartAnswer::Taken);
+        assert_eq!(reassembler.take(begin(from), now).0, PartAnswer::Taken);
     }
-    assert_eq!(assembly.take(begin(16), now).0, PartAnswer::Refused);
+    assert_eq!(reassembler.take(begin(16), now).0, PartAnswer::Refused);
     // Those whose senders are gone make room.
-    assert_eq!(assembly.take(begin(16), now + LONG).0, PartAnswer::Taken);
+    assert_eq!(reassembler.take(begin(16), now + LONG).0, PartAnswer::Taken);
     let huge = LogPart { total: u64::MAX, ..begin(1) };
-    assert_eq!(assembly.take(huge, now).0, PartAnswer::Refused);
+    assert_eq!(reassembler.take(huge, now).0, PartAnswer::Refused);
     let longer_than_told = LogPart { total: 2, ..begin(2) };
-    assert_eq!(assembly.take(longer_than_told, now).0, PartAnswer::Refused);
+    assert_eq!(reassembler.take(longer_than_told, now).0, PartAnswer::Refused);
 }
