--- a/crates/hatchpitch/src/replication/restart.rs
+++ b/crates/hatchpitch/src/replication/restart.rs
@@ -30,10 +30,10 @@
 /// Answers a lease query to a replica id that this box no longer has because it lost its disk. The
 /// process that may have led under that id ended before this one could listen at the same address,
 /// so the old id does not lead. Returns `None` for any other message.
-pub fn answer_for_former_identity(asked: &Envelope) -> Option<Envelope> {
-    let Message::AskLead { life } = asked.message else { return None };
+pub fn answer_for_former_identity(envelope: &Envelope) -> Option<Envelope> {
+    let Message::AskLead { life } = envelope.message else { return None };
     let message = Message::NotLeading { life };
-    Some(Envelope { from: asked.to, to: asked.from, message })
+    Some(Envelope { from: envelope.to, to: envelope.from, message })
 }
 
 /// What a replica has learned since its start about leases granted before it.
--- a/crates/hatchpitch/tests/replication/explore.rs
+++ b/crates/hatchpitch/tests/replication/explore.rs
@@ -1,4 +1,4 @@
-//! Every reachable state of a small group, breadth first.
+//! Breadth-first exploration of the reachable states of a small group, up to a fixed bound.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -13,25 +13,29 @@
 
 use super::group::voters;
 
-/// Bounds that keep the space finite.
+/// Maximum number of election timeouts on a path. This and the next two bounds keep the state space
+/// finite.
 const MAX_TIMEOUTS: u8 = 3;
+/// Maximum number of proposals on a path.
 const MAX_PROPOSALS: u8 = 1;
+/// Maximum number of restarts on a path.
 const MAX_RESTARTS: u8 = 1;
-/// States after which the search ends; the test says how far it came.
+/// Maximum number of distinct states. The test prints how many it visited.
 const MAX_STATES: usize = 60_000;
 
+/// State of a group: its replicas, their disks and the messages in flight.
 #[derive(Clone)]
-struct World {
+struct ModelState {
     replicas: BTreeMap<NodeId, Replica>,
     disks: BTreeMap<NodeId, Restored>,
-    flying: Vec<(NodeId, NodeId, Message)>,
+    in_flight: Vec<(NodeId, NodeId, Message)>,
     verifier: GroupVerifier,
     timeouts: u8,
     proposals: u8,
     restarts: u8,
 }
 
-impl World {
+impl ModelState {
     fn new(now: Instant) -> Self {
         let snapshot = Snapshot {
             end: LogEnd { term: 0, index: 0 },
@@ -40,29 +44,30 @@
         };
         let empty = Restored { hard: HardState::default(), snapshot, entries: Vec::new() };
         let disks: BTreeMap<NodeId, Restored> = (1..=3).map(|id| (id, empty.clone())).collect();
-        let mut world = Self {
+        let mut state = Self {
             replicas: BTreeMap::new(),
             disks,
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             verifier: GroupVerifier::default(),
             timeouts: 0,
             proposals: 0,
             restarts: 0,
         };
         for id in 1..=3 {
-            world.start(id, now);
+            state.start(id, now);
         }
-        world
+        state
     }
 
     fn start(&mut self, id: NodeId, now: Instant) {
-        // Without a lease every vote is free, which is the harder case for safety.
+        // Without leases, replicas never refuse a vote because of one, which is the harder case for
+        // safety.
         let cfg = ReplicaConfig { election_min: Duration::ZERO, ..ReplicaConfig::default() };
         let replica = Replica::new(id, cfg, self.disks[&id].clone(), 1, now);
         self.replicas.insert(id, replica);
     }
 
-    fn settle(&mut self, id: NodeId, now: Instant) {
+    fn process_ready(&mut self, id: NodeId, now: Instant) {
         loop {
             let replica = self.replicas.get_mut(&id).unwrap();
             let ready = replica.ready();
@@ -77,51 +82,54 @@
             }
             disk.entries.extend(ready.entries);
             replica.persisted(end, now);
-            self.flying.extend(ready.messages.into_iter().map(|(to, message)| (id, to, message)));
+            self.in_flight
+                .extend(ready.messages.into_iter().map(|(to, message)| (id, to, message)));
         }
     }
 
-    fn next_worlds(&self, now: Instant, later: Instant) -> Vec<Self> {
+    /// Returns the states after every possible next step.
+    fn successors(&self, now: Instant, later: Instant) -> Vec<Self> {
         let mut next = Vec::new();
         let mut branch = |change: &dyn Fn(&mut Self)| {
-            let mut world = self.clone();
-            change(&mut world);
-            next.push(world);
+            let mut state = self.clone();
+            change(&mut state);
+            next.push(state);
         };
-        for at in 0..self.flying.len() {
-            branch(&|world| {
-                let (from, to, message) = world.flying.remove(at);
-                world.replicas.get_mut(&to).unwrap().receive(from, message, now);
-                world.settle(to, now);
+        for at in 0..self.in_flight.len() {
+            branch(&|state| {
+                let (from, to, message) = state.in_flight.remove(at);
+                state.replicas.get_mut(&to).unwrap().receive(from, message, now);
+                state.process_ready(to, now);
             });
         }
         for id in 1..=3 {
             if self.timeouts < MAX_TIMEOUTS && !self.replicas[&id].leads() {
-                branch(&|world| {
-                    world.timeouts += 1;
-                    world.replicas.get_mut(&id).unwrap().tick(later);
-                    world.settle(id, now);
+                branch(&|state| {
+                    state.timeouts += 1;
+                    state.replicas.get_mut(&id).unwrap().tick(later);
+                    state.process_ready(id, now);
                 });
             }
             if self.proposals < MAX_PROPOSALS && self.replicas[&id].leads() {
-                branch(&|world| {
-                    world.proposals += 1;
-                    let command = vec![world.proposals];
-                    world.replicas.get_mut(&id).unwrap().propose(vec![command], now);
-                    world.settle(id, now);
+                branch(&|state| {
+                    state.proposals += 1;
+                    let command = vec![state.proposals];
+                    state.replicas.get_mut(&id).unwrap().propose(vec![command], now);
+                    state.process_ready(id, now);
                 });
             }
             if self.restarts < MAX_RESTARTS {
-                branch(&|world| {
-                    world.restarts += 1;
-                    world.start(id, now);
+                branch(&|state| {
+                    state.restarts += 1;
+                    state.start(id, now);
                 });
             }
         }
         next
     }
 
-    /// Digest of everything that later steps depend on; the order of messages does not matter.
+    /// Returns a digest of everything that later steps depend on, regardless of the order of
+    /// messages.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for replica in self.replicas.values() {
@@ -132,24 +140,24 @@
         for disk in self.disks.values() {
             disk.hard.hash(&mut hasher);
         }
-        let mut flying: Vec<String> = self.flying.iter().map(|m| format!("{m:?}")).collect();
-        flying.sort();
-        flying.hash(&mut hasher);
+        let mut in_flight: Vec<String> = self.in_flight.iter().map(|m| format!("{m:?}")).collect();
+        in_flight.sort();
+        in_flight.hash(&mut hasher);
         (self.timeouts, self.proposals, self.restarts).hash(&mut hasher);
         hasher.finish()
     }
 }
 
 #[test]
-fn no_reachable_state_of_three_replicas_breaks_an_invariant() {
+fn invariants_hold_in_reachable_states_of_three_replicas() {
     let now = Instant::now();
     let later = now + Duration::from_secs(10);
-    let first = World::new(now);
-    let mut seen = HashSet::from([first.digest()]);
-    let mut queue = VecDeque::from([first]);
+    let initial = ModelState::new(now);
+    let mut seen = HashSet::from([initial.digest()]);
+    let mut queue = VecDeque::from([initial]);
     let (mut steps, mut committed) = (0_usize, 0);
-    while let Some(world) = queue.pop_front() {
-        for mut next in world.next_worlds(now, later) {
+    while let Some(state) = queue.pop_front() {
+        for mut next in state.successors(now, later) {
             steps += 1;
             let replicas: Vec<Replica> = next.replicas.values().cloned().collect();
             if let Err(err) = next.verifier.observe(replicas.iter(), now) {
@@ -162,5 +170,5 @@
         }
     }
     println!("{} states, {steps} steps, up to {committed} committed entries", seen.len());
-    assert!(committed >= 1, "the search reaches a committed entry");
+    assert!(committed >= 1, "the exploration reaches no committed entry");
 }
--- a/crates/hatchpitch/tests/replication/group.rs
+++ b/crates/hatchpitch/tests/replication/group.rs
@@ -1,4 +1,4 @@
-//! A group of replicas on fake disks, with messages that the test delivers.
+//! A simulated group of replicas on fake disks, whose messages are delivered by the test.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,35 +12,39 @@
     Index, Members, Message, NodeId, Payload, Peer, Replica, ReplicaConfig, Storage,
 };
 
-/// One box of the group; `replica` is `None` while it is down.
+/// A node of the group. `storage` and `replica` are `None` while it is down.
 pub struct Node {
     pub disk: Rc<RefCell<FakeDisk>>,
     pub storage: Option<Storage>,
     pub replica: Option<Replica>,
-    /// Percent by which its clock runs faster or slower.
-    pub drift: i64,
+    /// Percentage by which its clock runs fast, or slow if negative.
+    pub drift_percent: i64,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone)]
-pub struct Flying {
+pub struct InFlight {
     pub from: NodeId,
     pub to: NodeId,
     pub message: Message,
 }
 
+/// The simulated group and its network.
 pub struct Group {
     pub cfg: ReplicaConfig,
     pub nodes: BTreeMap<NodeId, Node>,
-    pub flying: Vec<Flying>,
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub in_flight: Vec<InFlight>,
+    /// Links, from sender to receiver, on which messages are lost.
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub verifier: GroupVerifier,
     base: Instant,
+    /// Time since the start on the common clock.
     pub elapsed: Duration,
+    /// Number of commands proposed so far.
     pub proposed: u64,
-    /// Counts the starts of boxes, so that no two lives draw the same numbers.
+    /// Number of node starts, used as the seed of each replica so that no two starts share one.
     starts: u64,
-    /// Commands that were acknowledged to their proposer.
+    /// Commands that a leader reported as committed, by index.
     pub acknowledged: BTreeMap<Index, Vec<u8>>,
 }
 
@@ -59,8 +63,8 @@
         let mut group = Self {
             cfg: ReplicaConfig::default(),
             nodes: BTreeMap::new(),
-            flying: Vec::new(),
-            cut: BTreeSet::new(),
+            in_flight: Vec::new(),
+            cut_links: BTreeSet::new(),
             verifier: GroupVerifier::default(),
             base: Instant::now(),
             elapsed: Duration::ZERO,
@@ -74,46 +78,46 @@
         group
     }
 
-    /// Starts all boxes anew with messages of so many entries.
+    /// Restarts all nodes with at most `count` entries in a message.
     pub fn set_max_entries(&mut self, count: usize) {
         self.cfg.max_entries = count;
-        self.start_all();
+        self.restart_all();
     }
 
-    /// Starts all boxes anew; every message that carries anything counts as large from then on.
+    /// Restarts all nodes with a size limit at which every message with a payload is large.
     pub fn set_all_large(&mut self) {
         self.cfg.large_bytes = 0;
-        self.start_all();
+        self.restart_all();
     }
 
-    fn start_all(&mut self) {
+    fn restart_all(&mut self) {
         let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
         for id in ids {
             self.start(id);
         }
     }
 
-    /// Adds a box with an empty log.
+    /// Adds a node with an empty log.
     pub fn add(&mut self, id: NodeId, members: Members) {
         let disk = Rc::new(RefCell::new(FakeDisk::default()));
         Storage::create(&Disk::Fake(disk.clone()), members).unwrap();
-        self.nodes.insert(id, Node { disk, storage: None, replica: None, drift: 0 });
+        self.nodes.insert(id, Node { disk, storage: None, replica: None, drift_percent: 0 });
         self.start(id);
     }
 
-    /// Returns a node's own monotonic clock; it may drift.
+    /// Returns the time on a node's own clock, which may drift.
     pub fn now(&self, id: NodeId) -> Instant {
-        let drift = self.nodes[&id].drift;
+        let drift = self.nodes[&id].drift_percent;
         let millis = self.elapsed.as_millis() as i64;
         self.base + Duration::from_millis((millis + millis * drift / 100) as u64)
     }
 
-    /// Returns the common clock, against which leases are compared.
+    /// Returns the time on the common clock, by which leases are compared.
     pub fn common_now(&self) -> Instant {
         self.base + self.elapsed
     }
 
-    /// Starts a box; on a disk that is still full it stays down.
+    /// Starts a node. It stays down if its disk still fails.
     pub fn start(&mut self, id: NodeId) {
         let now = self.now(id);
         let cfg = self.cfg;
@@ -129,7 +133,7 @@
         node.replica = Some(Replica::new(id, cfg, restored, seed, now));
     }
 
-    /// Ends a box; `kept` bytes of what was not synced survive.
+    /// Crashes a node; `kept` bytes of each unsynced tail survive.
     pub fn crash(&mut self, id: NodeId, kept: usize) {
         let node = self.nodes.get_mut(&id).unwrap();
         node.replica = None;
@@ -137,16 +141,16 @@
         node.disk.borrow_mut().crash(kept);
     }
 
-    /// Runs a step on one box and handles what comes of it. A failing disk ends the box.
+    /// Runs a step on a node and processes its output. The node goes down if its disk fails.
     pub fn step(&mut self, id: NodeId, step: impl FnOnce(&mut Replica, Instant)) {
         let now = self.now(id);
         let node = self.nodes.get_mut(&id).unwrap();
         let Some(replica) = node.replica.as_mut() else { return };
         step(replica, now);
-        self.settle(id);
+        self.process_ready(id);
     }
 
-    fn settle(&mut self, id: NodeId) {
+    fn process_ready(&mut self, id: NodeId) {
         loop {
             let now = self.now(id);
             let node = self.nodes.get_mut(&id).unwrap();
@@ -166,8 +170,12 @@
             }
             replica.persisted(end, now);
             let leads = replica.leads();
-            let flying = ready.messages.into_iter();
-            self.flying.extend(flying.map(|(to, message)| Flying { from: id, to, message }));
+            let in_flight = ready.messages.into_iter();
+            self.in_flight.extend(in_flight.map(|(to, message)| InFlight {
+                from: id,
+                to,
+                message,
+            }));
             for entry in ready.committed.into_iter().filter(|_| leads) {
                 if let Payload::Command(command) = entry.payload {
                     self.acknowledged.insert(entry.index, command);
@@ -184,14 +192,14 @@
         });
     }
 
-    /// Lets a box hand its lead over, if it leads.
+    /// Makes a node hand leadership over, if it leads.
     pub fn hand_over(&mut self, id: NodeId) {
         self.step(id, |replica, now| {
             replica.hand_over(now);
         });
     }
 
-    /// Takes a snapshot of everything committed at a box.
+    /// Takes a snapshot of all committed entries on a node.
     pub fn compact(&mut self, id: NodeId) {
         let node = self.nodes.get_mut(&id).unwrap();
         let (Some(replica), Some(storage)) = (node.replica.as_mut(), node.storage.as_mut()) else {
@@ -206,30 +214,31 @@
         }
     }
 
-    /// Delivers the message at a place in the list, unless the link is cut.
+    /// Delivers the in-flight message at a position in the list, unless its link is cut.
     pub fn deliver(&mut self, at: usize) {
-        let Flying { from, to, message } = self.flying.remove(at);
-        if self.cut.contains(&(from, to)) || !self.nodes.contains_key(&to) {
+        let InFlight { from, to, message } = self.in_flight.remove(at);
+        if self.cut_links.contains(&(from, to)) || !self.nodes.contains_key(&to) {
             return;
         }
         self.step(to, |replica, now| replica.receive(from, message, now));
     }
 
-    /// Tells each box which of its large messages are no longer on their way.
-    fn end_large(&mut self) {
+    /// Reports to each node which of its large messages are no longer in flight.
+    fn report_large_done(&mut self) {
         let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
         for (from, to) in ids.iter().flat_map(|from| ids.iter().map(move |to| (*from, *to))) {
             let is_large = |m: &Message| m.payload_len() > self.cfg.large_bytes;
-            let flies = |f: &Flying| f.from == from && f.to == to && is_large(&f.message);
-            if !self.flying.iter().any(flies) {
+            let matches = |f: &InFlight| f.from == from && f.to == to && is_large(&f.message);
+            if !self.in_flight.iter().any(matches) {
                 self.step(from, |replica, _| replica.large_done(to));
             }
         }
     }
 
+    /// Advances the clocks and ticks all nodes.
     pub fn advance(&mut self, by: Duration) {
         self.elapsed += by;
-        self.end_large();
+        self.report_large_done();
         let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
         for id in ids {
             self.step(id, |replica, now| replica.tick(now));
@@ -243,10 +252,10 @@
         self.verifier.observe(replicas.iter(), now)
     }
 
-    /// Lets the group run with all links whole.
+    /// Runs the group for `millis` ms, delivering messages in order and checking the invariants.
     pub fn run(&mut self, millis: u64) -> Result<(), String> {
         for _ in 0..millis / 20 {
-            while !self.flying.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0);
             }
             self.advance(Duration::from_millis(20));
@@ -255,6 +264,7 @@
         Ok(())
     }
 
+    /// Returns the node with the newest term among those that have a lease, even an expired one.
     pub fn leader(&self) -> Option<NodeId> {
         let leaders = self
             .nodes
@@ -267,25 +277,26 @@
         self.nodes[&id].replica.as_ref().unwrap()
     }
 
-    /// Heals everything and checks that nothing acknowledged is missing anywhere.
+    /// Restores all links, disks and nodes, then checks that the leader's log contains every
+    /// acknowledged command.
     pub fn heal_and_check(&mut self) -> Result<(), String> {
-        self.cut.clear();
-        let down: Vec<NodeId> = self.nodes.keys().copied().collect();
-        for id in down {
+        self.cut_links.clear();
+        let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
+        for id in ids {
             self.nodes[&id].disk.borrow_mut().clear_failure();
             if self.nodes[&id].replica.is_none() {
                 self.start(id);
             }
         }
         self.run(10_000)?;
-        let leader = self.leader().ok_or("no leader after everything was healed")?;
+        let leader = self.leader().ok_or("no leader after all faults were cleared")?;
         self.propose(leader);
         self.run(1_000)?;
         let replica = self.replica(leader);
         for (index, command) in &self.acknowledged {
             let Some(entry) = replica.log().get(*index) else {
                 if *index <= replica.log().end().index && replica.commit() >= *index {
-                    continue; // The snapshot holds it.
+                    continue; // The snapshot covers it.
                 }
                 return Err(format!("acknowledged entry {index} is missing"));
             };
--- a/crates/hatchpitch/tests/replication/main.rs
+++ b/crates/hatchpitch/tests/replication/main.rs
@@ -1,5 +1,5 @@
-//! The replicated log under lost, doubled, reordered and late messages, crashes
-//! at every write, clocks that drift, and lost disks.
+//! Tests of the replicated log with lost, duplicated, reordered and delayed messages, crashes at
+//! every write, clock drift and lost disks.
 
 mod explore;
 mod group;
--- a/crates/hatchpitch/tests/replication/schedules.rs
+++ b/crates/hatchpitch/tests/replication/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules from fixed seeds, and the cases that they must contain.
+//! Random schedules from fixed seeds, and fixed scenarios for individual properties.
 
 use std::time::{Duration, Instant};
 
@@ -9,36 +9,38 @@
     Entry, HardState, Message, Payload, Replica, ReplicaConfig, Restored, Snapshot,
 };
 
-use super::group::{Flying, Group, peer, voters};
+use super::group::{Group, InFlight, peer, voters};
 
+/// Number of random steps of a schedule.
 const STEPS: usize = 300;
-/// Seeds carry the number of random bytes in their low half.
-const BYTES: u64 = 1 << 20;
+/// Number of random bytes of a schedule; `arbtest` takes it from the low half of the seed.
+const SEED_BYTES: u64 = 1 << 20;
 
-/// What all schedules of a test have in common.
+/// Parameters shared by all schedules of a run.
 #[derive(Clone, Copy)]
-struct Setting {
-    /// Replicas.
+struct ScheduleConfig {
+    /// Number of replicas.
     size: u64,
-    /// Whether their clocks drift.
-    drift: bool,
-    /// Whether leaders hand their lead over.
-    hands_over: bool,
-    /// Whether all messages that carry anything are large.
+    /// Whether the replicas' clocks drift.
+    clocks_drift: bool,
+    /// Whether leaders hand leadership over at random.
+    transfers_leadership: bool,
+    /// Whether every message with a payload is large.
     all_large: bool,
 }
 
-/// Time passes, and each message on its way arrives, is lost, doubled or late, in any order.
-fn round(group: &mut Group, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+/// Advances the clocks, then delivers, drops, duplicates or delays in-flight messages in random
+/// order.
+fn advance_and_deliver(group: &mut Group, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     group.advance(Duration::from_millis(u.int_in_range(5..=120)?));
-    for _ in 0..group.flying.len() {
-        if group.flying.is_empty() {
+    for _ in 0..group.in_flight.len() {
+        if group.in_flight.is_empty() {
             break;
         }
-        let at = u.choose_index(group.flying.len())?;
+        let at = u.choose_index(group.in_flight.len())?;
         match u.int_in_range(0..=19)? {
-            0 => drop(group.flying.remove(at)),
-            1 => group.flying.push(group.flying[at].clone()),
+            0 => drop(group.in_flight.remove(at)),
+            1 => group.in_flight.push(group.in_flight[at].clone()),
             2 => {}
             _ => group.deliver(at),
         }
@@ -46,8 +48,8 @@
     Ok(())
 }
 
-/// Now and then any replica hands its lead over, if it has it.
-fn random_hand_over(group: &mut Group, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+/// With a probability of 1/8, makes a random replica hand leadership over, if it leads.
+fn maybe_hand_over(group: &mut Group, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let size = group.nodes.len() as u64;
     if u.ratio(1, 8)? {
         group.hand_over(u.int_in_range(1..=size)?);
@@ -55,6 +57,8 @@
     Ok(())
 }
 
+/// Executes one random step: a crash, a start, a cut link, a disk fault, proposals or the passing
+/// of time.
 fn random_step(group: &mut Group, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let size = group.nodes.len() as u64;
     let (id, other) = (u.int_in_range(1..=size)?, u.int_in_range(1..=size)?);
@@ -65,9 +69,9 @@
             group.start(id);
         }
         5 | 6 => {
-            group.cut.insert((id, other));
+            group.cut_links.insert((id, other));
         }
-        7 => group.cut.clear(),
+        7 => group.cut_links.clear(),
         8 => group.compact(id),
         9 => {
             let (operations, tear) = (u.int_in_range(0..=5)?, u.arbitrary()?);
@@ -78,28 +82,29 @@
                 group.propose(id);
             }
         }
-        _ => round(group, u)?,
+        _ => advance_and_deliver(group, u)?,
     }
     Ok(())
 }
 
-/// Runs one schedule and returns how many commands were acknowledged before the end.
-fn run_schedule(u: &mut Unstructured<'_>, setting: Setting) -> arbitrary::Result<usize> {
-    let mut group = Group::new(setting.size);
-    // Small messages let an old entry reach a majority before the leader's own does.
+/// Runs one schedule. Returns the number of commands acknowledged before the faults are cleared.
+fn run_schedule(u: &mut Unstructured<'_>, cfg: ScheduleConfig) -> arbitrary::Result<usize> {
+    let mut group = Group::new(cfg.size);
+    // With small messages, an entry of an older term can reach a majority before the first entry of
+    // the leader's own term does.
     group.set_max_entries(u.int_in_range(1..=3)?);
-    if setting.all_large {
+    if cfg.all_large {
         group.set_all_large();
     }
-    if setting.drift {
+    if cfg.clocks_drift {
         for node in group.nodes.values_mut() {
-            node.drift = u.int_in_range(-10..=10)?;
+            node.drift_percent = u.int_in_range(-10..=10)?;
         }
     }
     for _ in 0..STEPS {
         random_step(&mut group, u)?;
-        if setting.hands_over {
-            random_hand_over(&mut group, u)?;
+        if cfg.transfers_leadership {
+            maybe_hand_over(&mut group, u)?;
         }
         if let Err(err) = group.verify() {
             panic!("{err}");
@@ -112,64 +117,108 @@
     Ok(acknowledged)
 }
 
-fn run_schedules(seeds: u64, setting: Setting) {
+fn run_schedules(seeds: u64, cfg: ScheduleConfig) {
     let mut acknowledged = 0;
     for seed in 0..seeds {
         let run = |u: &mut Unstructured<'_>| {
-            acknowledged += run_schedule(u, setting)?;
+            acknowledged += run_schedule(u, cfg)?;
             Ok(())
         };
-        arbtest::arbtest(run).seed(seed << 32 | BYTES).run();
+        arbtest::arbtest(run).seed(seed << 32 | SEED_BYTES).run();
     }
-    println!(
-        "{seeds} schedules of {} replicas, {acknowledged} commands acknowledged",
-        setting.size
-    );
-    assert!(acknowledged as u64 > seeds * 5, "the schedules get something done");
+    println!("{seeds} schedules of {} replicas, {acknowledged} commands acknowledged", cfg.size);
+    assert!(acknowledged as u64 > seeds * 5, "the schedules commit too few commands");
 }
 
 #[test]
-fn three_replicas_keep_what_they_acknowledged() {
-    run_schedules(300, Setting { size: 3, drift: false, hands_over: false, all_large: false });
+fn three_replicas_keep_acknowledged_commands() {
+    run_schedules(
+        300,
+        ScheduleConfig {
+            size: 3,
+            clocks_drift: false,
+            transfers_leadership: false,
+            all_large: false,
+        },
+    );
 }
 
 #[test]
-fn five_replicas_with_drifting_clocks_keep_what_they_acknowledged() {
-    run_schedules(60, Setting { size: 5, drift: true, hands_over: false, all_large: false });
+fn five_replicas_with_drifting_clocks_keep_acknowledged_commands() {
+    run_schedules(
+        60,
+        ScheduleConfig {
+            size: 5,
+            clocks_drift: true,
+            transfers_leadership: false,
+            all_large: false,
+        },
+    );
 }
 
 #[test]
-fn leaders_that_hand_over_at_any_moment_keep_what_they_acknowledged() {
-    run_schedules(200, Setting { size: 3, drift: true, hands_over: true, all_large: false });
-    run_schedules(40, Setting { size: 5, drift: true, hands_over: true, all_large: false });
+fn acknowledged_commands_survive_random_leadership_transfers() {
+    run_schedules(
+        200,
+        ScheduleConfig {
+            size: 3,
+            clocks_drift: true,
+            transfers_leadership: true,
+            all_large: false,
+        },
+    );
+    run_schedules(
+        40,
+        ScheduleConfig {
+            size: 5,
+            clocks_drift: true,
+            transfers_leadership: true,
+            all_large: false,
+        },
+    );
 }
 
 #[test]
-fn replicas_whose_messages_are_all_large_keep_what_they_acknowledged() {
-    run_schedules(200, Setting { size: 3, drift: true, hands_over: true, all_large: true });
-    run_schedules(40, Setting { size: 5, drift: true, hands_over: false, all_large: true });
+fn acknowledged_commands_survive_when_all_messages_are_large() {
+    run_schedules(
+        200,
+        ScheduleConfig { size: 3, clocks_drift: true, transfers_leadership: true, all_large: true },
+    );
+    run_schedules(
+        40,
+        ScheduleConfig {
+            size: 5,
+            clocks_drift: true,
+            transfers_leadership: false,
+            all_large: true,
+        },
+    );
 }
 
 #[test]
-fn a_leader_keeps_its_lead_while_large_messages_are_on_their_way() {
+fn leader_keeps_leadership_while_large_messages_are_in_flight() {
     let mut group = Group::new(3);
     group.set_all_large();
     group.run(5_000).unwrap();
     let leader = group.leader().unwrap();
     group.propose(leader);
-    // The large messages travel far longer than followers wait for a leader that is silent.
+    // The large messages stay in flight far longer than the election timeout.
     for _ in 0..500 {
-        let all = std::mem::take(&mut group.flying);
+        let all = std::mem::take(&mut group.in_flight);
         let (large, small): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|f| f.message.payload_len() > 0);
-        assert!(large.len() <= 2, "one large message for each replica: {}", large.len());
-        group.flying = small;
-        while !group.flying.is_empty() {
-            let Flying { message, .. } = &group.flying[0];
-            assert_eq!(message.payload_len(), 0, "nothing large is sent beside another");
+        assert!(large.len() <= 2, "at most one large message per replica, found {}", large.len());
+        group.in_flight = small;
+        while !group.in_flight.is_empty() {
+            let InFlight { message, .. } = &group.in_flight[0];
+            assert_eq!(
+                message.payload_len(),
+                0,
+                "a large message was sent while another is in flight"
+            );
             group.deliver(0);
         }
-        group.flying = large;
+        group.in_flight = large;
         group.advance(Duration::from_millis(20));
     }
     assert_eq!(group.leader(), Some(leader));
@@ -178,15 +227,15 @@
 }
 
 #[test]
-fn a_leader_that_stops_is_replaced_without_waiting_for_its_silence() {
+fn leadership_transfer_does_not_wait_for_the_election_timeout() {
     let mut group = Group::new(3);
     group.run(5_000).unwrap();
     let old = group.leader().unwrap();
     group.propose(old);
     group.run(200).unwrap();
     group.hand_over(old);
-    assert!(group.replica(old).lease_until().is_none(), "the lease ends with the lead");
-    // Far less than the shortest time without a leader until an election.
+    assert!(group.replica(old).lease_until().is_none(), "the lease ends with the leadership");
+    // Far less than the shortest election timeout.
     group.run(100).unwrap();
     let new = group.leader().unwrap();
     assert_ne!(new, old);
@@ -194,12 +243,12 @@
 }
 
 #[test]
-fn a_leader_keeps_its_lead_while_nobody_holds_its_whole_log() {
+fn leader_keeps_leadership_if_no_voter_is_caught_up() {
     let mut group = Group::new(3);
     group.run(5_000).unwrap();
     let leader = group.leader().unwrap();
     for other in (1..=3).filter(|id| *id != leader) {
-        group.cut.insert((leader, other));
+        group.cut_links.insert((leader, other));
     }
     group.propose(leader);
     group.hand_over(leader);
@@ -207,13 +256,13 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_loses_its_lease_before_another_is_elected() {
+fn partitioned_leader_loses_its_lease_before_another_is_elected() {
     let mut group = Group::new(3);
     group.run(3_000).unwrap();
     let old = group.leader().unwrap();
     for id in 1..=3 {
-        group.cut.insert((old, id));
-        group.cut.insert((id, old));
+        group.cut_links.insert((old, id));
+        group.cut_links.insert((id, old));
     }
     let mut lease_ended = None;
     let mut elected = None;
@@ -228,29 +277,29 @@
         }
     }
     assert!(lease_ended.unwrap() < elected.unwrap());
-    assert!(!group.replica(old).leads(), "check-quorum makes the old leader step down");
+    assert!(!group.replica(old).leads(), "check-quorum did not make the old leader step down");
 }
 
 #[test]
-fn a_box_that_was_cut_off_does_not_disturb_the_leader() {
+fn partitioned_replica_does_not_disrupt_the_leader_on_its_return() {
     let mut group = Group::new(3);
     group.run(3_000).unwrap();
     let leader = group.leader().unwrap();
     let term = group.replica(leader).term();
-    let cut = (1..=3).find(|id| *id != leader).unwrap();
+    let isolated = (1..=3).find(|id| *id != leader).unwrap();
     for id in 1..=3 {
-        group.cut.insert((cut, id));
-        group.cut.insert((id, cut));
+        group.cut_links.insert((isolated, id));
+        group.cut_links.insert((id, isolated));
     }
     group.run(10_000).unwrap();
-    group.cut.clear();
+    group.cut_links.clear();
     group.run(3_000).unwrap();
     assert_eq!(group.leader(), Some(leader));
     assert_eq!(group.replica(leader).term(), term);
 }
 
 #[test]
-fn a_replica_far_behind_catches_up_by_snapshot() {
+fn lagging_replica_catches_up_by_snapshot() {
     let mut group = Group::new(3);
     group.run(3_000).unwrap();
     let leader = group.leader().unwrap();
@@ -268,7 +317,7 @@
 }
 
 #[test]
-fn a_lost_disk_is_replaced_and_a_second_loss_then_costs_nothing() {
+fn committed_entries_survive_a_second_disk_loss_after_repair() {
     let mut group = Group::new(3);
     group.run(3_000).unwrap();
     let leader = group.leader().unwrap();
@@ -282,9 +331,9 @@
     group.add(new, voters([]));
     let add = MemberChange::AddLearner(new, peer(new));
     group.step(leader, |r, now| r.change_members(&add, now).unwrap());
-    let too_early = MemberChange::Promote(new);
+    let early_promotion = MemberChange::Promote(new);
     group.step(leader, |r, now| {
-        assert_eq!(r.change_members(&too_early, now), Err(ChangeError::Busy));
+        assert_eq!(r.change_members(&early_promotion, now), Err(ChangeError::Busy));
     });
     group.run(1_000).unwrap();
     group.step(leader, |r, now| r.change_members(&MemberChange::Promote(new), now).unwrap());
@@ -296,20 +345,20 @@
 
     group.nodes.remove(&leader);
     group.run(5_000).unwrap();
-    let next = group.leader().expect("two of three go on");
-    let held = group.replica(next).commit();
-    assert!(held >= *group.acknowledged.last_key_value().unwrap().0);
+    let next = group.leader().expect("two of three replicas elect a leader");
+    let committed = group.replica(next).commit();
+    assert!(committed >= *group.acknowledged.last_key_value().unwrap().0);
     group.heal_and_check().unwrap();
 }
 
 #[test]
-fn a_learner_that_is_behind_is_not_promoted() {
+fn lagging_learner_is_not_promoted() {
     let mut group = Group::new(3);
     group.run(3_000).unwrap();
     let leader = group.leader().unwrap();
     group.add(4, voters([]));
     for id in 1..=3 {
-        group.cut.insert((id, 4));
+        group.cut_links.insert((id, 4));
     }
     group.step(leader, |r, now| {
         r.change_members(&MemberChange::AddLearner(4, peer(4)), now).unwrap()
@@ -321,7 +370,7 @@
 }
 
 #[test]
-fn an_entry_of_an_old_term_is_not_committed_by_counting_replicas() {
+fn entry_of_an_older_term_is_not_committed_by_counting_replicas() {
     let now = Instant::now();
     let entry = |term, index| Entry { term, index, payload: Payload::Noop };
     let restored = Restored {
@@ -349,7 +398,7 @@
     for from in [2, 3] {
         replica.receive(from, matched(2), later);
     }
-    assert_eq!(replica.commit(), 0, "another leader could still replace entry 2");
+    assert_eq!(replica.commit(), 0, "a later leader could still replace entry 2");
     for from in [2, 3] {
         replica.receive(from, matched(3), later);
     }
--- a/crates/hatchpitch/tests/replication/storage.rs
+++ b/crates/hatchpitch/tests/replication/storage.rs
@@ -1,4 +1,4 @@
-//! The files: torn tails, damage, full disks, crashes at every operation.
+//! Tests of the log's files: torn writes, corruption, full disks and crashes at every operation.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_was_saved_is_read_back() {
+fn saved_state_is_restored() {
     let (_, disk) = new_disk();
     let (mut storage, _) = Storage::open(disk.clone()).unwrap();
     storage.save(&batch(1, 3)).unwrap();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut() {
+fn torn_write_is_truncated() {
     for kept in 0..200 {
         let (fake, disk) = new_disk();
         let (mut storage, _) = Storage::open(disk.clone()).unwrap();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn damage_to_anything_synced_stops_the_process() {
+fn corruption_of_any_synced_byte_is_an_error() {
     let (fake, disk) = new_disk();
     let (mut storage, _) = Storage::open(disk.clone()).unwrap();
     for i in 0..3 {
@@ -76,21 +76,21 @@
         assert!(matches!(opened, Err(StorageError::Damaged { .. })), "byte {at}");
         fake.borrow_mut().corrupt("log", at);
     }
-    let text = {
+    let error = {
         fake.borrow_mut().corrupt("log", length - 1);
         Storage::open(disk).unwrap_err().to_string()
     };
-    assert!(text.contains("hatchpitch repair"), "{text}");
+    assert!(error.contains("hatchpitch repair"), "{error}");
 }
 
 #[test]
-fn a_full_disk_is_an_error_and_nothing_saved_before_is_lost() {
+fn full_disk_is_an_error_and_loses_no_saved_entry() {
     let (fake, disk) = new_disk();
     let (mut storage, _) = Storage::open(disk.clone()).unwrap();
     storage.save(&batch(1, 2)).unwrap();
     fake.borrow_mut().fail_in(0, true);
-    let refused = storage.save(&batch(3, 2)).unwrap_err();
-    assert!(matches!(refused, StorageError::Io { .. }), "{refused}");
+    let err = storage.save(&batch(3, 2)).unwrap_err();
+    assert!(matches!(err, StorageError::Io { .. }), "{err}");
     fake.borrow_mut().clear_failure();
     let (mut storage, restored) = Storage::open(disk).unwrap();
     assert_eq!(restored.entries.len(), 2);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_crash_at_any_operation_of_a_snapshot_loses_nothing() {
+fn crash_at_any_operation_of_a_snapshot_loses_no_entry() {
     for crash_after in 0..10 {
         let (fake, disk) = new_disk();
         let (mut storage, _) = Storage::open(disk.clone()).unwrap();
@@ -109,19 +109,19 @@
             members: voters([1]),
             data: vec![9; 100],
         };
-        let begun = storage.rotate(&snapshot, &[entry(4)]);
+        let rotated = storage.rotate(&snapshot, &[entry(4)]);
         fake.borrow_mut().crash(0);
         let (_, restored) = Storage::open(disk).unwrap();
         let end = restored.snapshot.end.index + restored.entries.len() as u64;
         assert_eq!(end, 4, "crash after operation {crash_after}");
-        if begun.is_ok() {
+        if rotated.is_ok() {
             assert_eq!(restored.snapshot, snapshot);
         }
     }
 }
 
 #[test]
-fn an_identity_stays_with_its_disk() {
+fn identity_is_bound_to_its_disk() {
     let (_, disk) = new_disk();
     assert_eq!(Storage::identity(&disk).unwrap(), None);
     Storage::bind_identity(&disk, 42).unwrap();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_log_that_is_gone_is_not_begun_again_under_the_same_identity() {
+fn missing_log_is_not_recreated_under_the_same_identity() {
     let (_, disk) = new_disk();
     drop(Storage::open(disk.clone()).unwrap());
     assert!(Storage::has_log(&disk).unwrap());
--- a/crates/hatchpitch/tests/replication/transfer.rs
+++ b/crates/hatchpitch/tests/replication/transfer.rs
@@ -1,4 +1,4 @@
-//! Large messages that are put together from their parts.
+//! Tests of the reassembly of large messages from their parts.
 
 use std::time::{Duration, Instant};
 
@@ -7,8 +7,8 @@
 use hatchpitch::replication::transfer::{LogPart, PartAnswer, Reassembler, TransferId};
 use serde_bytes::ByteBuf;
 
-/// Time without a part after which a message is surely given up.
-const LONG: Duration = Duration::from_secs(60);
+/// Time well above that after which an incomplete message is discarded.
+const AFTER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn part(from: NodeId, transfer: TransferId, message: &[u8], at: usize, len: usize) -> LogPart {
     let end = (at + len).min(message.len());
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn parts_in_order_make_the_message_and_nothing_else_does() {
+fn message_is_reassembled_only_from_consecutive_parts() {
     arbtest::arbtest(|u: &mut Unstructured<'_>| {
         let now = Instant::now();
         let mut reassembler = Reassembler::default();
-        // What each of two senders sends now, and how much of it has arrived.
+        // For each of two senders: the message being sent and how many of its bytes have arrived.
         let mut sent: [(TransferId, Vec<u8>, usize); 2] = Default::default();
         for step in 0..u.int_in_range(1..=60)? {
             let from = u.int_in_range(0..=1)?;
@@ -30,12 +30,12 @@
                 (*transfer, *arrived) = (step, 0);
                 *message = (0..u.int_in_range(1..=50)?).map(|n: u8| n ^ step as u8).collect();
             }
-            // A part that begins at 0 would begin the message anew.
+            // A part at offset 0 would start the message again, so the wrong offset stays above 0.
             let (len, wrong) = (u.int_in_range(1..=20)?, u.ratio(1, 6)?);
             let next = part(from as NodeId, *transfer, message, *arrived, len);
             if wrong && next.offset > 1 {
-                let late = LogPart { offset: next.offset - 1, ..next };
-                assert_eq!(reassembler.take(late, now), (PartAnswer::Refused, None));
+                let misplaced = LogPart { offset: next.offset - 1, ..next };
+                assert_eq!(reassembler.take(misplaced, now), (PartAnswer::Refused, None));
                 *arrived = message.len();
                 continue;
             }
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn what_is_put_together_is_bounded() {
+fn reassembly_is_bounded() {
     let now = Instant::now();
     let mut reassembler = Reassembler::default();
-    let begin = |from| part(from, 1, b"a message", 0, 4);
+    let first_part = |from| part(from, 1, b"a message", 0, 4);
     for from in 0..16 {
-        assert_eq!(reassembler.take(begin(from), now).0, PartAnswer::Taken);
+        assert_eq!(reassembler.take(first_part(from), now).0, PartAnswer::Taken);
     }
-    assert_eq!(reassembler.take(begin(16), now).0, PartAnswer::Refused);
-    // Those whose senders are gone make room.
-    assert_eq!(reassembler.take(begin(16), now + LONG).0, PartAnswer::Taken);
-    let huge = LogPart { total: u64::MAX, ..begin(1) };
-    assert_eq!(reassembler.take(huge, now).0, PartAnswer::Refused);
-    let longer_than_told = LogPart { total: 2, ..begin(2) };
-    assert_eq!(reassembler.take(longer_than_told, now).0, PartAnswer::Refused);
+    assert_eq!(reassembler.take(first_part(16), now).0, PartAnswer::Refused);
+    // Incomplete messages without new parts are discarded, which makes room.
+    assert_eq!(reassembler.take(first_part(16), now + AFTER_IDLE_TIMEOUT).0, PartAnswer::Taken);
+    let oversized = LogPart { total: u64::MAX, ..first_part(1) };
+    assert_eq!(reassembler.take(oversized, now).0, PartAnswer::Refused);
+    let exceeding_total = LogPart { total: 2, ..first_part(2) };
+    assert_eq!(reassembler.take(exceeding_total, now).0, PartAnswer::Refused);
 }
