--- /dev/null
+++ b/crates/hatchpitch/src/dispatch/scheduler.rs
@@ -0,0 +1,464 @@
+//! Schedules requests onto the engines of one pool that a box owns, and queues the others.
+//!
+//! Handles more demand than the engines can run at once. Higher priorities go first, workspaces
+//! of one priority share the service fairly, a request whose expected wait is longer than it
+//! accepts is refused on arrival, and a running generation that is migrated bypasses the queue.
+//! Smaller requests may bypass one that fits on no engine, up to a limit; from then on it blocks
+//! the queue, because the longest prompts would starve otherwise.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use serde::{Deserialize, Serialize};
+use twox_hash::XxHash64;
+
+use super::search::Quote;
+use crate::admission::lengths::LengthModel;
+use crate::admission::memory::Candidate;
+use crate::admission::state::{AdmissionConfig, AdmissionQueue, Enqueued, Ticket, Waiter};
+use crate::ids::{AttemptId, FailureDomainName, Priority, RequestKind, RunnerName, WorkspaceName};
+use crate::routing::state::{Asked, Closed, RunnerSpec};
+use crate::routing::{RoutingConfig, RunReport, RunnerTable};
+use crate::upstream_heads::SharedSignals;
+
+/// Queued requests that are considered when a slot is free. Those with a prompt at least as long
+/// as one of the same kind that did not fit are skipped, so that a scan costs only a few attempts.
+const MAX_CANDIDATES: usize = 32;
+/// Requests that may bypass one that does not fit. This is about the number that one engine runs
+/// at once, so that a large request waits for an engine to drain once instead of starving.
+const MAX_BYPASSES: u32 = 16;
+/// Expected output of a request before any output length was observed, in tokens.
+const DEFAULT_OUTPUT_TOKENS: u64 = 256;
+/// Retry delay while no runner takes work and none has a known time of return: runners announce
+/// themselves about once a second, and one starts within a few seconds.
+const NO_RUNNER_RETRY: Duration = Duration::from_secs(5);
+/// Cause of a refusal if every eligible runner is at its rate limit.
+pub const AT_LIMIT: &str = "every upstream that could take it is at the limit that it names";
+/// Cause of a refusal if every eligible runner is in a rest period or at its rate limit.
+pub const RESTING: &str = "every upstream that could take it asked for rest or is at its limit";
+/// Range of the jitter added to retry delays that end with the same rest period, so that the load
+/// on an upstream rises gradually when the period ends.
+const REST_JITTER: Duration = Duration::from_millis(250);
+/// Shortest retry delay while no runner takes work: an earlier retry would find the same state.
+const MIN_RETRY: Duration = Duration::from_secs(1);
+
+/// A request for a slot on an engine, as sent to the owner of the engine.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SlotRequest {
+    /// Id of the run.
+    pub id: AttemptId,
+    /// Workspace that the run is charged to.
+    pub workspace: WorkspaceName,
+    /// Priority; larger values are served first.
+    pub priority: Priority,
+    /// Kind of request. Output lengths are assumed to be similar within a kind.
+    pub kind: RequestKind,
+    /// Length of the prompt, in tokens.
+    pub prompt: u64,
+    /// Upper bound on the output, in tokens.
+    pub max_tokens: u64,
+    /// Runners that must not be used, because they failed this request before.
+    pub avoid: Vec<RunnerName>,
+    /// Failure domain whose runners are preferred unless they are much busier.
+    #[serde(default)]
+    pub near: Option<FailureDomainName>,
+    /// Tokens of state to be copied from another runner first; 0 for a new run.
+    #[serde(default)]
+    pub copied: u64,
+    /// Maximum time in the queue, if it is shorter than the pool's.
+    #[serde(default)]
+    pub max_wait: Option<Duration>,
+    /// Longest expected wait that the request accepts, if it is shorter than the pool's. A longer
+    /// one leads to an immediate refusal.
+    #[serde(default)]
+    pub accepts: Option<Duration>,
+    /// Failure domains whose runners may run it; empty means all.
+    #[serde(default)]
+    pub within: Vec<FailureDomainName>,
+    /// Maximum wait for runners that are at their rate limits or in a rest period, if it is shorter
+    /// than the pool's.
+    #[serde(default)]
+    pub limit_wait: Option<Duration>,
+    /// Whether runners that announce a rate limit are excluded.
+    #[serde(default)]
+    pub skips_limited: bool,
+    /// Whether this box sends the request, so that the rest periods that runners asked of this box
+    /// apply. Not serialized: it is always false at another box.
+    #[serde(skip)]
+    pub sends_here: bool,
+    /// Whether the request cannot be sent to another runner if this one rejects it.
+    #[serde(skip)]
+    pub only_try: bool,
+}
+
+impl SlotRequest {
+    /// Returns whether the request's own constraints allow a runner.
+    pub fn may_run_at(&self, runner: &RunnerName, domain: &FailureDomainName) -> bool {
+        !self.avoid.contains(runner) && (self.within.is_empty() || self.within.contains(domain))
+    }
+
+    fn asked(&self) -> Asked<'_> {
+        let near = self.near.as_deref();
+        Asked {
+            id: &self.id,
+            priority: self.priority,
+            avoid: &self.avoid,
+            near,
+            copied: self.copied,
+            within: &self.within,
+            skips_limited: self.skips_limited,
+            sends_here: self.sends_here,
+            only_try: self.only_try,
+        }
+    }
+
+    fn candidate(&self) -> Candidate {
+        Candidate { kind: self.kind.clone(), prompt: self.prompt, max_output: self.max_tokens }
+    }
+}
+
+/// The refusal of a request that was not run.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Refusal {
+    /// Reason, as reported to the caller.
+    pub cause: String,
+    /// Time after which the caller may retry.
+    pub retry_after: Duration,
+}
+
+impl Refusal {
+    /// Creates a refusal.
+    pub fn new(cause: &str, retry_after: Duration) -> Self {
+        Self { cause: cause.to_owned(), retry_after }
+    }
+}
+
+/// The immediate result of scheduling a request.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Decision {
+    /// A slot was taken on this engine.
+    Run(RunnerSpec),
+    /// The request was queued. An [`Answer`] with this ticket follows.
+    Wait(Ticket),
+    /// The request was refused.
+    Refuse(Refusal),
+}
+
+/// The final result of a queued request.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Answer {
+    /// Ticket of the request in the queue.
+    pub ticket: Ticket,
+    /// Id of the run.
+    pub id: AttemptId,
+    /// The engine on which a slot was taken, or the refusal.
+    pub slot: Result<RunnerSpec, Refusal>,
+}
+
+/// Schedules the engines of one pool at one owner, and holds the queue of waiting requests.
+#[derive(Debug, Clone)]
+pub struct PoolScheduler {
+    pub(super) table: RunnerTable,
+    pub(super) queue: AdmissionQueue,
+    pub(super) waiting: BTreeMap<Ticket, SlotRequest>,
+    lengths: LengthModel,
+    answers: Vec<Answer>,
+}
+
+impl PoolScheduler {
+    /// Creates a scheduler without engines.
+    pub fn new(admission: AdmissionConfig, routing: RoutingConfig) -> Self {
+        Self {
+            table: RunnerTable::new(routing),
+            queue: AdmissionQueue::new(admission),
+            waiting: BTreeMap::new(),
+            lengths: LengthModel::default(),
+            answers: Vec::new(),
+        }
+    }
+
+    /// Makes the scheduler respect the rate limits and rest periods that all schedulers of the box
+    /// share.
+    pub fn with_signals(mut self, signals: SharedSignals) -> Self {
+        self.table.share_signals(signals);
+        self
+    }
+
+    /// Takes the answers to queued requests that have accumulated since the last call.
+    pub fn take_answers(&mut self) -> Vec<Answer> {
+        std::mem::take(&mut self.answers)
+    }
+
+    /// Takes a slot if one is free and no queued request goes first.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Refusal`] if no eligible runner takes work; `Ok(None)` means that the request
+    /// would have to queue.
+    pub fn place(
+        &mut self,
+        req: &SlotRequest,
+        now: Instant,
+    ) -> Result<Option<RunnerSpec>, Refusal> {
+        if !self.table.any_serving_for(&req.asked()) {
+            return Err(self.no_runner_refusal(now));
+        }
+        if self.must_queue(req) {
+            return Ok(None);
+        }
+        let Some(spec) = pick(&mut self.table, &self.lengths, req, now) else { return Ok(None) };
+        self.queue.charge(&req.workspace, self.cost(req));
+        Ok(Some(spec))
+    }
+
+    /// Takes a slot for the request, queues it or refuses it.
+    pub fn decide(&mut self, req: &SlotRequest, now: Instant) -> Decision {
+        match self.place(req, now) {
+            Ok(Some(spec)) => return Decision::Run(spec),
+            Ok(None) => {}
+            Err(refusal) => return Decision::Refuse(refusal),
+        }
+        if let Some(closed) = self.closed(req, now)
+            && closed.opens_in > req.limit_wait.unwrap_or(Duration::MAX)
+        {
+            return Decision::Refuse(unavailable_refusal(req, closed));
+        }
+        let waiter = Waiter {
+            workspace: req.workspace.clone(),
+            priority: req.priority,
+            cost: self.cost(req),
+            since: now,
+            accepts: req.accepts.unwrap_or(Duration::MAX),
+        };
+        let ticket = match self.queue.enqueue(waiter) {
+            Enqueued::Waiting(ticket) => ticket,
+            Enqueued::Displaced { ticket, refused } => {
+                self.refuse(refused, "displaced by a higher priority");
+                ticket
+            }
+            Enqueued::Refused => {
+                let retry_after = self.retry_after(req);
+                let cause = "more wait than can be served in time";
+                return Decision::Refuse(Refusal::new(cause, retry_after));
+            }
+        };
+        self.waiting.insert(ticket, req.clone());
+        Decision::Wait(ticket)
+    }
+
+    /// Estimates what the request would get now, without taking a slot.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Refusal`] if no eligible runner takes work.
+    pub fn quote(&self, req: &SlotRequest, now: Instant) -> Result<Quote, Refusal> {
+        if !self.table.any_serving_for(&req.asked()) {
+            return Err(self.no_runner_refusal(now));
+        }
+        let busy = Quote::Busy(self.expected_wait(req, now));
+        if self.must_queue(req) {
+            return Ok(busy);
+        }
+        let load = self.table.quote(&req.asked(), &req.candidate(), &self.lengths, now);
+        Ok(load.map_or(busy, Quote::Room))
+    }
+
+    /// Accounts for a slot that another owner granted at `since`. Returns the engine, or `None` if
+    /// it is not one of this scheduler's.
+    pub fn adopt(&mut self, runner: &str, req: &SlotRequest, since: Instant) -> Option<RunnerSpec> {
+        let spec = self.table.adopt(runner, &req.asked(), &req.candidate(), since)?;
+        self.queue.charge(&req.workspace, self.cost(req));
+        Some(spec)
+    }
+
+    /// Releases a slot, and corrects the workspace's charge by the reported output.
+    pub fn release(
+        &mut self,
+        runner: &str,
+        req: &SlotRequest,
+        cost: u64,
+        report: RunReport,
+        now: Instant,
+    ) {
+        self.table.give_back(runner, &req.id, report, now);
+        if let Some(tokens) = report.tokens {
+            self.lengths.observe(&req.kind, tokens);
+            self.queue.correct(&req.workspace, cost, req.prompt + tokens);
+        }
+        self.schedule_queued(now);
+    }
+
+    /// Releases a slot that was not used, and refunds its charge.
+    pub fn release_unused(&mut self, runner: &str, req: &SlotRequest, cost: u64, now: Instant) {
+        self.queue.correct(&req.workspace, cost, 0);
+        self.release_abandoned(runner, &req.id, now);
+    }
+
+    /// Releases a slot whose request was cancelled before it received the slot. The charge stays.
+    pub fn release_abandoned(&mut self, runner: &str, id: &str, now: Instant) {
+        self.table.give_back(runner, id, RunReport::RELEASED, now);
+        self.schedule_queued(now);
+    }
+
+    /// Removes a cancelled request from the queue.
+    pub fn cancel(&mut self, ticket: Ticket) {
+        self.queue.cancel(ticket);
+        self.waiting.remove(&ticket);
+    }
+
+    /// Applies a change to the engine table, then schedules queued requests.
+    pub fn update<T>(&mut self, now: Instant, change: impl FnOnce(&mut RunnerTable) -> T) -> T {
+        let changed = change(&mut self.table);
+        self.schedule_queued(now);
+        changed
+    }
+
+    /// Replaces the bounds of the queue.
+    pub fn configure(&mut self, cfg: AdmissionConfig) {
+        self.queue.configure(cfg);
+    }
+
+    /// Refuses requests that have waited too long and schedules those that fit. To be called a few
+    /// times a second.
+    pub fn tick(&mut self, now: Instant) {
+        for ticket in self.queue.expire(now) {
+            self.refuse(ticket, "waited as long as the pool allows");
+        }
+        if !self.table.any_serving() {
+            let refusal = self.no_runner_refusal(now);
+            for (ticket, req) in std::mem::take(&mut self.waiting) {
+                self.queue.cancel(ticket);
+                self.answers.push(Answer { ticket, id: req.id, slot: Err(refusal.clone()) });
+            }
+        }
+        self.schedule_queued(now);
+        self.refuse_closed(now);
+    }
+
+    /// Returns the expected wait of a request.
+    pub fn expected_wait(&self, req: &SlotRequest, now: Instant) -> Duration {
+        let in_queue = self.queue.expected_wait(&req.workspace, req.priority);
+        self.closed(req, now).map_or(in_queue, |closed| closed.opens_in.max(in_queue))
+    }
+
+    /// Returns when a runner becomes available, if all eligible ones are at their rate limits or in
+    /// a rest period. The time includes the expected wait in the queue.
+    fn closed(&self, req: &SlotRequest, now: Instant) -> Option<Closed> {
+        let mut closed = self.table.closed(&req.asked(), now)?;
+        closed.opens_in += self.queue.expected_wait(&req.workspace, req.priority);
+        Some(closed)
+    }
+
+    /// Returns the retry delay for a refused request.
+    pub fn retry_after(&self, req: &SlotRequest) -> Duration {
+        self.queue.retry_after(&req.workspace, req.priority)
+    }
+
+    /// Returns the number of queued requests.
+    pub fn waiting(&self) -> usize {
+        self.queue.len()
+    }
+
+    /// Returns the expected cost of a request, in tokens of prompt and output.
+    pub fn cost(&self, req: &SlotRequest) -> u64 {
+        req.prompt + self.lengths.mean(DEFAULT_OUTPUT_TOKENS).min(req.max_tokens)
+    }
+
+    /// Returns whether queued requests go first. A running generation that is migrated bypasses the
+    /// queue: its stream would stall, and its engine shuts down within seconds.
+    fn must_queue(&self, req: &SlotRequest) -> bool {
+        req.copied == 0 && !self.queue.is_empty()
+    }
+
+    /// Schedules queued requests until none of them fits.
+    fn schedule_queued(&mut self, now: Instant) {
+        self.queue.age(now);
+        while let Some((ticket, spec)) = self.next_fitting(now) {
+            self.queue.grant_to(ticket, now);
+            let Some(req) = self.waiting.remove(&ticket) else { continue };
+            self.answers.push(Answer { ticket, id: req.id, slot: Ok(spec) });
+        }
+    }
+
+    /// Finds the first queued request, in service order, that fits on an engine, and takes a slot
+    /// for it.
+    fn next_fitting(&mut self, now: Instant) -> Option<(Ticket, RunnerSpec)> {
+        // Requests that did not fit, and the kinds and prompt lengths of those that were tried.
+        let mut unfit: Vec<Ticket> = Vec::new();
+        let mut too_long_prompts: Vec<(&RequestKind, u64)> = Vec::new();
+        let candidates: Vec<Ticket> = self.queue.candidates().take(MAX_CANDIDATES).collect();
+        for ticket in candidates {
+            let Some(req) = self.waiting.get(&ticket) else { continue };
+            let known_too_long = too_long_prompts
+                .iter()
+                .any(|(kind, prompt)| **kind == req.kind && *prompt <= req.prompt);
+            if !known_too_long {
+                if let Some(spec) = pick(&mut self.table, &self.lengths, req, now) {
+                    self.queue.note_passed(&unfit);
+                    return Some((ticket, spec));
+                }
+                if req.avoid.is_empty() && req.within.is_empty() {
+                    too_long_prompts.push((&req.kind, req.prompt));
+                }
+            }
+            if self.queue.passed(ticket) >= MAX_BYPASSES {
+                return None;
+            }
+            unfit.push(ticket);
+        }
+        None
+    }
+
+    fn refuse(&mut self, ticket: Ticket, cause: &str) {
+        if let Some(req) = self.waiting.remove(&ticket) {
+            let retry_after = self.retry_after(&req);
+            let slot = Err(Refusal::new(cause, retry_after));
+            self.answers.push(Answer { ticket, id: req.id, slot });
+        }
+    }
+
+    /// Refuses requests whose maximum wait for runners at their rate limits or in a rest period is
+    /// refused. The estimate on arrival does not suffice: other boxes may take every permit first.
+    fn refuse_closed(&mut self, now: Instant) {
+        let expired = |(ticket, req): (&Ticket, &SlotRequest)| {
+            let waited = self.queue.waited(*ticket, now)?;
+            let longest = req.limit_wait?;
+            let closed = self.closed(req, now).filter(|_| waited >= longest)?;
+            Some((*ticket, closed))
+        };
+        let refused: Vec<(Ticket, Closed)> = self.waiting.iter().filter_map(expired).collect();
+        for (ticket, closed) in refused {
+            self.queue.cancel(ticket);
+            if let Some(req) = self.waiting.remove(&ticket) {
+                let slot = Err(unavailable_refusal(&req, closed));
+                self.answers.push(Answer { ticket, id: req.id, slot });
+            }
+        }
+    }
+
+    fn no_runner_refusal(&self, now: Instant) -> Refusal {
+        let until = self.table.next_return().map(|at| at.saturating_duration_since(now));
+        let retry_after = until.unwrap_or(NO_RUNNER_RETRY).max(MIN_RETRY);
+        Refusal::new("no runner of the pool takes work", retry_after)
+    }
+}
+
+/// Returns the refusal of a request for which no eligible runner is available before
+/// `closed.opens_in`. The retry delay after a rest period is jittered by the id of the run.
+pub fn unavailable_refusal(req: &SlotRequest, closed: Closed) -> Refusal {
+    if !closed.rests {
+        return Refusal::new(AT_LIMIT, closed.opens_in);
+    }
+    let fraction = XxHash64::oneshot(0, req.id.as_bytes()) as f64 / u64::MAX as f64;
+    Refusal::new(RESTING, closed.opens_in + REST_JITTER.mul_f64(fraction))
+}
+
+/// Takes a slot on the best engine that the request fits on.
+fn pick(
+    table: &mut RunnerTable,
+    lengths: &LengthModel,
+    req: &SlotRequest,
+    now: Instant,
+) -> Option<RunnerSpec> {
+    table.pick(&req.asked(), &req.candidate(), lengths, now)
+}
--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -10,12 +10,12 @@
 use hatchpitch_net::clock;
 
 use super::task::Turn;
-use crate::dispatch::Want;
+use crate::dispatch::SlotRequest;
 use crate::grants::Slot;
 use crate::grants::task::obtain;
 use crate::ids::{FailureDomainName, RunnerName, ServiceName, new_id};
 use crate::registry::UpstreamRecord;
-use crate::relay::dialect::{CopyAnswer, CopyFailure, CopyOrder};
+use crate::relay::protocol::{CopyAnswer, CopyFailure, CopyOrder};
 use crate::relay::{HostedRequest, Relay};
 use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
@@ -199,7 +199,7 @@
     async fn copy(&self, to: SocketAddr, stop: bool) -> Result<CopyAnswer, CopyFailure> {
         let order = CopyOrder { request: self.req.id.clone(), to, stop };
         let upstream = self.relay.cx.upstream(self.source.addr);
-        let copied = (self.relay.dialect.copy)(upstream, order);
+        let copied = (self.relay.protocol.copy)(upstream, order);
         let sent = clock::now();
         match compio::time::timeout(COPY_LIMIT, copied).await {
             Ok(reply) => {
@@ -220,7 +220,7 @@
             roster.leaving().map(UpstreamRecord::life).collect()
         };
         avoid.push(self.source.runner.clone());
-        let want = Want {
+        let want = SlotRequest {
             id: new_id(),
             workspace: self.req.workspace.clone().unwrap_or_default(),
             priority: self.req.priority(),
