--- a/crates/hatchpitch/src/dispatch/scheduler.rs
+++ b/crates/hatchpitch/src/dispatch/scheduler.rs
@@ -17,9 +17,9 @@
 use crate::admission::memory::Candidate;
 use crate::admission::state::{AdmissionConfig, AdmissionQueue, Enqueued, Ticket, Waiter};
 use crate::ids::{AttemptId, FailureDomainName, Priority, RequestKind, RunnerName, WorkspaceName};
-use crate::routing::state::{Asked, Closed, RunnerSpec};
+use crate::routing::state::{Closed, RunnerQuery, RunnerSpec};
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
-use crate::upstream_heads::SharedSignals;
+use crate::upstream_signals::SharedSignals;
 
 /// Queued requests that are considered when a slot is free. Those with a prompt at least as long
 /// as one of the same kind that did not fit are skipped, so that a scan costs only a few attempts.
@@ -97,9 +97,9 @@
         !self.avoid.contains(runner) && (self.within.is_empty() || self.within.contains(domain))
     }
 
-    fn asked(&self) -> Asked<'_> {
+    fn asked(&self) -> RunnerQuery<'_> {
         let near = self.near.as_deref();
-        Asked {
+        RunnerQuery {
             id: &self.id,
             priority: self.priority,
             avoid: &self.avoid,
@@ -228,7 +228,7 @@
             priority: req.priority,
             cost: self.cost(req),
             since: now,
-            accepts: req.accepts.unwrap_or(Duration::MAX),
+            acceptable_wait: req.accepts.unwrap_or(Duration::MAX),
         };
         let ticket = match self.queue.enqueue(waiter) {
             Enqueued::Waiting(ticket) => ticket,
@@ -372,7 +372,7 @@
 
     /// Schedules queued requests until none of them fits.
     fn schedule_queued(&mut self, now: Instant) {
-        self.queue.age(now);
+        self.queue.demote_overdue(now);
         while let Some((ticket, spec)) = self.next_fitting(now) {
             self.queue.grant_to(ticket, now);
             let Some(req) = self.waiting.remove(&ticket) else { continue };
@@ -394,14 +394,14 @@
                 .any(|(kind, prompt)| **kind == req.kind && *prompt <= req.prompt);
             if !known_too_long {
                 if let Some(spec) = pick(&mut self.table, &self.lengths, req, now) {
-                    self.queue.note_passed(&unfit);
+                    self.queue.record_bypass(&unfit);
                     return Some((ticket, spec));
                 }
                 if req.avoid.is_empty() && req.within.is_empty() {
                     too_long_prompts.push((&req.kind, req.prompt));
                 }
             }
-            if self.queue.passed(ticket) >= MAX_BYPASSES {
+            if self.queue.bypass_count(ticket) >= MAX_BYPASSES {
                 return None;
             }
             unfit.push(ticket);
@@ -437,7 +437,7 @@
     }
 
     fn no_runner_refusal(&self, now: Instant) -> Refusal {
-        let until = self.table.next_return().map(|at| at.saturating_duration_since(now));
+        let until = self.table.next_readmission().map(|at| at.saturating_duration_since(now));
         let retry_after = until.unwrap_or(NO_RUNNER_RETRY).max(MIN_RETRY);
         Refusal::new("no runner of the pool takes work", retry_after)
     }
