--- a/crates/hatchpitch/src/admission/gate.rs
+++ b/crates/hatchpitch/src/admission/gate.rs
@@ -14,7 +14,7 @@
 use crate::ids::AttemptId;
 use crate::routing::state::RunnerSpec;
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
-use crate::upstream_heads::SharedSignals;
+use crate::upstream_signals::SharedSignals;
 
 /// Upper bound on the timeout of a wait. The queue expires its requests far earlier.
 const MAX_WAIT: Duration = Duration::from_secs(3_600);
--- a/crates/hatchpitch/src/relay/run.rs
+++ b/crates/hatchpitch/src/relay/run.rs
@@ -27,7 +27,7 @@
 use crate::quarantine::ContentId;
 use crate::quarantine::observer::{self, RunLocation};
 use crate::routing::Verdict;
-use crate::upstream_heads::task as upstream_heads;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Largest response that is buffered, in bytes. A larger one is streamed to the caller.
 const MAX_BUFFERED_RESPONSE: usize = 256 * 1024;
@@ -283,7 +283,7 @@
     /// for a rest period. Then it is the time until the first of these periods ends.
     fn retry_delay(&self) -> Duration {
         let (cx, now) = (&self.relay.cx, clock::now());
-        let (roster, rests) = (cx.upstreams.roster.borrow(), cx.rests.borrow());
+        let (roster, rests) = (cx.upstreams.roster.borrow(), cx.backoffs.borrow());
         let could = roster.serving().filter(|record| {
             record.service == self.service && self.may_run_in(&record.failure_domain)
         });
@@ -417,7 +417,7 @@
         let (parts, body) = res.into_parts();
         let kind = (self.relay.protocol.classify)(&self.req, &parts);
         let signals = kind.trusted_signals(self.relay.protocol.signals(&parts));
-        upstream_heads::note(&self.relay.cx, &slot.runner, signals, sent_at);
+        upstream_signals::record(&self.relay.cx, &slot.runner, signals, sent_at);
         match kind {
             ResponseKind::Answer => {}
             ResponseKind::NotRun { cause, is_replaced } => {
