--- a/crates/hatchpitch/src/discovery/mod.rs
+++ b/crates/hatchpitch/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Which boxes a caller should use: callers ask any box and then connect themselves.
+//! Endpoint discovery: a caller asks any box which boxes to use and connects to them directly.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,59 +8,60 @@
 use crate::membership::state::Membership;
 use crate::membership::{MemberRecord, MemberStatus};
 
-/// Addresses that one answer holds at most.
+/// Maximum number of endpoints in one answer.
 pub const MAX_ENDPOINTS: usize = 3;
 
-/// Addresses that a whole list holds at most, as callers take no more.
+/// Maximum length of a box list; callers accept no more addresses.
 const MAX_LISTED: usize = 64;
 
-/// One address that a caller may use.
+/// An entry box that a caller may use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Where to connect.
+    /// Address to connect to.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the box.
     pub failure_domain: String,
 }
 
 /// The answer to `GET /v1/endpoints`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoints {
-    /// Addresses, the preferred one first.
+    /// Endpoints in order of preference.
     pub endpoints: Vec<Endpoint>,
-    /// Seconds for which the caller may keep the answer.
+    /// Time in seconds for which the caller may cache the answer.
     pub max_age_s: u64,
 }
 
-/// Boxes of the caller's own failure domain that are enough to send it to no others.
-const ENOUGH_NEAR: usize = 2;
+/// Number of boxes in the caller's failure domain from which on boxes of other domains are left
+/// out.
+const MIN_LOCAL_BOXES: usize = 2;
 
-/// Lists the boxes that a caller should use: those of its own failure domain if there are enough,
-/// else all. Boxes that may be lost are listed only if there are no others, and this box only
-/// while it takes work.
+/// Lists the boxes that a caller should use: those in its failure domain `near` if there are at
+/// least two, otherwise all. Suspect boxes are listed only if no box is alive, and this box only if
+/// `takes_work` is set.
 pub fn near_boxes(membership: &Membership, takes_work: bool, near: &str) -> Vec<SocketAddr> {
     let own = &membership.own_record().subject;
     let serving = membership.serving_boxes().filter(|r| takes_work || r.subject != *own);
-    let (sound, doubtful): (Vec<_>, Vec<_>) =
-        serving.partition(|r| r.status == MemberStatus::Alive);
-    let boxes = if sound.is_empty() { doubtful } else { sound };
-    let near: Vec<&MemberRecord> =
+    let (alive, suspect): (Vec<_>, Vec<_>) = serving.partition(|r| r.status == MemberStatus::Alive);
+    let boxes = if alive.is_empty() { suspect } else { alive };
+    let local: Vec<&MemberRecord> =
         boxes.iter().copied().filter(|r| r.failure_domain == near).collect();
-    let listed = if near.len() >= ENOUGH_NEAR { near } else { boxes };
+    let listed = if local.len() >= MIN_LOCAL_BOXES { local } else { boxes };
     listed.into_iter().map(|r| r.addr).take(MAX_LISTED).collect()
 }
 
-/// Chooses addresses for a caller: its own failure domain first, spread by `spread`.
+/// Chooses endpoints for a caller, those in its failure domain `near` first. `rotation` selects
+/// the first box, so that callers with different values are spread over the boxes.
 pub fn choose<'a>(
     boxes: impl Iterator<Item = &'a MemberRecord>,
     near: Option<&str>,
-    spread: u64,
+    rotation: u64,
     max_age: Duration,
 ) -> Endpoints {
     let mut boxes: Vec<&MemberRecord> = boxes.collect();
     let count = boxes.len().max(1);
     boxes.sort_by(|a, b| a.subject.cmp(&b.subject));
-    let start = usize::try_from(spread % count as u64).unwrap_or(0);
+    let start = usize::try_from(rotation % count as u64).unwrap_or(0);
     if !boxes.is_empty() {
         boxes.rotate_left(start);
     }
