--- a/crates/hatchpitch/src/membership/messages.rs
+++ b/crates/hatchpitch/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of membership.
+//! Membership records and the messages that carry them between boxes.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::ids::{BoxName, ConfigNumber, FailureDomainName, Incarnation, RunnerName};
 
-/// What a record is about.
+/// The member that a record describes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// An entry box.
@@ -15,59 +15,59 @@
     Upstream(RunnerName),
 }
 
-/// Status within one incarnation; it only moves to the right.
+/// Status of a member within one incarnation; it only moves towards later variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberStatus {
-    /// Serves.
+    /// Accepts work.
     Alive,
-    /// Does not answer some box; serves until that is confirmed.
+    /// Did not answer at least one box; accepts work until it is confirmed dead.
     Suspect,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its work and accepts no new work.
     Leaving,
-    /// Gone.
+    /// Terminated or unreachable.
     Dead,
 }
 
-/// What is known about one member. Of two records the larger
-/// `(incarnation, status)` wins, so a lagging source can never bring a member back.
+/// The state of one member. Of two records of a member, the one with the greater
+/// `(incarnation, status)` wins, so an outdated source cannot revive a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Who it is about.
+    /// The member described.
     pub subject: Subject,
-    /// The life of the member.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// Its status in that life.
+    /// Status in that incarnation.
     pub status: MemberStatus,
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
-    /// Where other boxes reach it.
+    /// Address for other boxes.
     pub box_addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the member.
     pub failure_domain: FailureDomainName,
 }
 
 impl MemberRecord {
-    /// Returns the order in which records win.
+    /// Returns the key by which records of one member are ordered; the greater one wins.
     pub fn version(&self) -> (Incarnation, MemberStatus) {
         (self.incarnation, self.status)
     }
 }
 
-/// A heartbeat, and its answer: what the sender learned lately, or all that it knows.
+/// A heartbeat or the answer to one. It carries recently changed records, or all of them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Gossip {
     /// The sender.
     pub from: BoxName,
-    /// Configuration number in force at the sender.
+    /// Number of the configuration in force at the sender.
     pub config_number: ConfigNumber,
-    /// Whether the sender asks for everything the receiver knows.
+    /// Whether the sender asks for all records of the receiver.
     pub want_all: bool,
-    /// Records that the receiver may not have.
+    /// Records that the receiver may lack.
     pub records: Vec<MemberRecord>,
 }
 
-/// Asks a box to send a heartbeat to another one for the asker.
+/// Asks a box to probe another one on behalf of the sender.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ProbeRequest {
     /// The box to probe.
@@ -77,6 +77,6 @@
 /// Answer to a [`ProbeRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ProbeAnswer {
-    /// Whether the target answered.
+    /// Whether the target answered the probe.
     pub answered: bool,
 }
--- a/crates/hatchpitch/src/membership/mod.rs
+++ b/crates/hatchpitch/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Which boxes and upstreams live, leave or are gone, agreed on by gossip.
+//! Gossip-based membership: the status of every box and upstream.
 //!
-//! The platform's list is only a hint. Truth comes from the boxes' own
-//! heartbeats to a few peers, at a constant cost a box whatever the fleet's size.
+//! The platform's list of members is only a hint. Status is determined by heartbeats between the
+//! boxes. Each box contacts a fixed number of peers, so its load does not depend on the fleet size.
 
 pub mod messages;
 pub mod state;
--- a/crates/hatchpitch/src/membership/state.rs
+++ b/crates/hatchpitch/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! Membership as a state machine without I/O, clock or randomness of its own.
+//! The membership state machine. It does no I/O; the caller passes the time and the random seed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,20 +11,21 @@
 use super::messages::{Gossip, MemberRecord, MemberStatus, Subject};
 use crate::ids::{BoxName, ConfigNumber};
 
-/// Bounds and periods of membership.
+/// Limits and intervals of the membership protocol.
 #[derive(Debug, Clone)]
 pub struct MembershipConfig {
-    /// Time between heartbeats of one box.
+    /// Interval between the heartbeats of one box.
     pub period: Duration,
-    /// Time a suspect has to refute before it counts as dead.
-    pub suspicion: Duration,
-    /// Peers that hear of news at once.
+    /// Time within which a suspect member has to refute the suspicion; then it counts as dead.
+    pub suspicion_timeout: Duration,
+    /// Number of peers to which a change is sent immediately.
     pub fanout: usize,
-    /// Times that a record is passed on, for each doubling of the fleet's size.
-    pub transmissions: u32,
-    /// Records a message carries at most.
+    /// Number of transmissions of a changed record, multiplied by the binary logarithm of the
+    /// number of members.
+    pub transmit_multiplier: u32,
+    /// Maximum number of changed records in one message.
     pub max_records: usize,
-    /// Time that dead members are remembered.
+    /// Time for which dead members are kept.
     pub forget_after: Duration,
 }
 
@@ -32,26 +33,27 @@
     fn default() -> Self {
         Self {
             period: Duration::from_millis(500),
-            suspicion: Duration::from_secs(2),
+            suspicion_timeout: Duration::from_secs(2),
             fanout: 3,
-            transmissions: 6,
+            transmit_multiplier: 6,
             max_records: 64,
             forget_after: Duration::from_secs(3_600),
         }
     }
 }
 
-/// What the driver has to do.
+/// An action that the driver has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Send a heartbeat and report the outcome with [`Membership::on_gossip`] or [`Membership::on_silence`].
+    /// Send a heartbeat and report its outcome with [`Membership::on_gossip`] or
+    /// [`Membership::on_unreachable`].
     Heartbeat {
         /// The box to send to.
         to: BoxName,
-        /// Whether to ask for everything it knows.
+        /// Whether to ask for all its records.
         want_all: bool,
     },
-    /// Send a heartbeat whose outcome does not matter.
+    /// Send recent changes to a peer; a failure needs no report.
     Spread {
         /// The box to send to.
         to: BoxName,
@@ -61,12 +63,13 @@
 #[derive(Debug, Clone)]
 pub(super) struct Member {
     pub(super) record: MemberRecord,
-    /// Times this record may still be passed on.
-    pub(super) left_to_send: u32,
-    pub(super) since: Instant,
+    /// Remaining transmissions of this record.
+    pub(super) transmissions_left: u32,
+    /// Time at which the record was stored.
+    pub(super) updated_at: Instant,
 }
 
-/// What one box knows of the fleet.
+/// The membership of the fleet as one box knows it.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) own: Subject,
@@ -76,22 +79,23 @@
     rng: SmallRng,
     next_heartbeat: Instant,
     rounds: u64,
-    /// Changes whenever a box or upstream comes, goes or changes status.
+    /// Grows whenever a record is added, changed or removed.
     version: u64,
     config_number: ConfigNumber,
-    /// Configuration number of each box and when it was heard.
-    heard: BTreeMap<BoxName, (ConfigNumber, Instant)>,
+    /// Configuration number last reported by each box, and when.
+    peer_configs: BTreeMap<BoxName, (ConfigNumber, Instant)>,
 }
 
-/// Every so many heartbeats a box asks a peer for everything, to heal what gossip missed.
-const FULL_EXCHANGE_EVERY: u64 = 32;
+/// Number of heartbeats after which a box asks a peer for all records, to recover changes that
+/// gossip did not deliver.
+const FULL_SYNC_INTERVAL: u64 = 32;
 
 impl Membership {
-    /// Starts with the box's own record.
+    /// Creates the membership of a box, which holds only the box's own record.
     ///
     /// # Panics
     ///
-    /// Panics if the record is that of an upstream: only boxes run membership.
+    /// Panics if `own` describes an upstream; only boxes run the membership protocol.
     pub fn new(own: MemberRecord, cfg: MembershipConfig, seed: u64, now: Instant) -> Self {
         let Subject::Box(own_name) = own.subject.clone() else {
             panic!("only boxes run membership")
@@ -105,23 +109,23 @@
             rounds: 0,
             version: 0,
             config_number: 0,
-            heard: BTreeMap::new(),
+            peer_configs: BTreeMap::new(),
             cfg,
         };
-        membership.put(own, now);
+        membership.insert(own, now);
         membership
     }
 
-    /// Returns the record of the box itself.
+    /// Returns the box's own record.
     ///
     /// # Panics
     ///
-    /// Never: the own record is put in by [`Membership::new`] and never removed.
+    /// Never panics: [`Membership::new`] inserts the own record, and it is never removed.
     pub fn own_record(&self) -> &MemberRecord {
         &self.members[&self.own].record
     }
 
-    /// Returns a number that changes whenever any record does.
+    /// Returns a number that grows whenever a record is added, changed or removed.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -131,42 +135,43 @@
         self.members.values().map(|m| &m.record)
     }
 
-    /// Looks up one record.
+    /// Returns the record of a member.
     pub fn get(&self, subject: &Subject) -> Option<&MemberRecord> {
         self.members.get(subject).map(|m| &m.record)
     }
 
-    /// Iterates over the boxes that take new work, in order of name.
+    /// Iterates over the boxes that accept new work, in order of name.
     pub fn serving_boxes(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records()
             .filter(|r| matches!(r.subject, Subject::Box(_)) && r.status <= MemberStatus::Suspect)
     }
 
-    /// Returns how many boxes were lost within `window`: killed, or cut off and perhaps still at
-    /// work. Boxes that left in a planned way are none of them.
+    /// Returns the number of boxes that were declared dead within `window`. Such a box was killed,
+    /// or it is partitioned and may still be working. Boxes that left as planned do not count.
     pub fn lost_boxes(&self, now: Instant, window: Duration) -> usize {
         let lost = |m: &&Member| {
             matches!(m.record.subject, Subject::Box(_))
                 && m.record.status == MemberStatus::Dead
-                && now.duration_since(m.since) < window
+                && now.duration_since(m.updated_at) < window
         };
         self.members.values().filter(lost).count()
     }
 
-    /// Picks up to `count` other boxes that are not known to be gone.
+    /// Returns the addresses of up to `count` random other boxes that are not dead.
     pub fn peers(&mut self, count: usize) -> Vec<SocketAddr> {
         let names = self.random_peers(count);
         let record = |name| self.get(&Subject::Box(name));
         names.into_iter().filter_map(record).map(|record| record.box_addr).collect()
     }
 
-    /// Returns whether an upstream takes new work; unknown upstreams do.
+    /// Returns whether an upstream accepts new work. Unknown upstreams are assumed to.
     pub fn upstream_serves(&self, name: &str) -> bool {
         let record = self.get(&Subject::Upstream(name.to_owned()));
         record.is_none_or(|r| r.status <= MemberStatus::Suspect)
     }
 
-    /// Runs what is due; call it at least as often as the period.
+    /// Advances timers and returns the actions that are due. Must be called at least once per
+    /// heartbeat period.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipAction> {
         self.expire(now);
         if now < self.next_heartbeat {
@@ -175,11 +180,12 @@
         self.next_heartbeat = now + self.cfg.period;
         self.rounds += 1;
         let Some(to) = self.random_peers(1).pop() else { return Vec::new() };
-        let want_all = self.rounds.is_multiple_of(FULL_EXCHANGE_EVERY) || self.rounds <= 2;
+        let want_all = self.rounds.is_multiple_of(FULL_SYNC_INTERVAL) || self.rounds <= 2;
         vec![MembershipAction::Heartbeat { to, want_all }]
     }
 
-    /// Makes the message for a heartbeat or its answer.
+    /// Builds a heartbeat or its answer. `want_all` asks the receiver for all its records; `all`
+    /// includes all records of this box instead of recent changes.
     pub fn compose(&mut self, want_all: bool, all: bool) -> Gossip {
         let from = self.own_name.clone();
         let mut records = vec![self.own_record().clone()];
@@ -187,49 +193,51 @@
             records.extend(self.records().filter(|r| r.subject != self.own).cloned());
             return Gossip { from, config_number: self.config_number, want_all, records };
         }
-        let others = self.members.iter_mut().filter(|(s, m)| **s != self.own && m.left_to_send > 0);
-        let mut fresh: Vec<&mut Member> = others.map(|(_, m)| m).collect();
-        fresh.sort_by_key(|m| std::cmp::Reverse(m.left_to_send));
-        for member in fresh.into_iter().take(self.cfg.max_records) {
-            member.left_to_send -= 1;
+        let others =
+            self.members.iter_mut().filter(|(s, m)| **s != self.own && m.transmissions_left > 0);
+        let mut changed: Vec<&mut Member> = others.map(|(_, m)| m).collect();
+        changed.sort_by_key(|m| std::cmp::Reverse(m.transmissions_left));
+        for member in changed.into_iter().take(self.cfg.max_records) {
+            member.transmissions_left -= 1;
             records.push(member.record.clone());
         }
         Gossip { from, config_number: self.config_number, want_all, records }
     }
 
-    /// Takes in what another box knows; returns who should hear of the news at once.
+    /// Merges the records of another box. If any of them is new, returns the messages that pass
+    /// the change on.
     pub fn on_gossip(&mut self, gossip: Gossip, now: Instant) -> Vec<MembershipAction> {
-        self.heard.insert(gossip.from, (gossip.config_number, now));
-        let mut news = false;
+        self.peer_configs.insert(gossip.from, (gossip.config_number, now));
+        let mut changed = false;
         for record in gossip.records {
-            news |= self.merge(record, now);
+            changed |= self.merge(record, now);
         }
-        if news { self.spread() } else { Vec::new() }
+        if changed { self.spread() } else { Vec::new() }
     }
 
-    /// Notes the configuration number in force here, which heartbeats carry.
+    /// Sets the number of the configuration in force, which heartbeats report.
     pub fn set_config_number(&mut self, number: ConfigNumber) {
         self.config_number = number;
     }
 
-    /// Returns whether a majority of the boxes, this one included, was heard within `window`
-    /// with a number that is not above `number`, and none with one above.
+    /// Returns whether a majority of the serving boxes, including this one, reported a
+    /// configuration number within `window`, and none reported one above `number`.
     pub fn peers_confirm(&self, number: ConfigNumber, now: Instant, window: Duration) -> bool {
         let serving = self.serving_boxes().count();
-        let recent = self.heard.values().filter(|(_, at)| now.duration_since(*at) <= window);
-        let numbers: Vec<ConfigNumber> = recent.map(|(heard, _)| *heard).collect();
-        let behind = numbers.iter().any(|heard| *heard > number);
-        number > 0 && !behind && (numbers.len() + 1) * 2 > serving && serving > 1
+        let recent = self.peer_configs.values().filter(|(_, at)| now.duration_since(*at) <= window);
+        let numbers: Vec<ConfigNumber> = recent.map(|(reported, _)| *reported).collect();
+        let is_behind = numbers.iter().any(|reported| *reported > number);
+        number > 0 && !is_behind && (numbers.len() + 1) * 2 > serving && serving > 1
     }
 
-    /// Notes that neither a direct nor an indirect heartbeat reached `peer`.
-    pub fn on_silence(&mut self, peer: &BoxName, now: Instant) -> Vec<MembershipAction> {
+    /// Marks `peer` as suspect after both direct and indirect probes failed.
+    pub fn on_unreachable(&mut self, peer: &BoxName, now: Instant) -> Vec<MembershipAction> {
         let subject = Subject::Box(peer.clone());
-        self.mark(&subject, MemberStatus::Suspect, now)
+        self.set_status(&subject, MemberStatus::Suspect, now)
     }
 
-    /// Declares a status for a member under its present incarnation.
-    pub fn mark(
+    /// Sets the status of a member in its current incarnation, unless it already has a later one.
+    pub fn set_status(
         &mut self,
         subject: &Subject,
         status: MemberStatus,
@@ -240,19 +248,19 @@
         self.observe(record, now)
     }
 
-    /// Takes in what this box saw itself.
+    /// Merges a record that this box observed itself.
     pub fn observe(&mut self, record: MemberRecord, now: Instant) -> Vec<MembershipAction> {
         if self.accept(record, now) { self.spread() } else { Vec::new() }
     }
 
-    /// Declares the box itself as leaving; it never takes this back in this life.
+    /// Marks this box as leaving. This cannot be undone within its incarnation.
     pub fn leave(&mut self, now: Instant) -> Vec<MembershipAction> {
         let own = self.own.clone();
-        self.mark(&own, MemberStatus::Leaving, now)
+        self.set_status(&own, MemberStatus::Leaving, now)
     }
 
-    /// Picks up to two boxes that can probe `target` in this box's place.
-    pub fn helpers(&mut self, target: &BoxName) -> Vec<BoxName> {
+    /// Returns up to two boxes that can probe `target` on behalf of this one.
+    pub fn indirect_probers(&mut self, target: &BoxName) -> Vec<BoxName> {
         let mut peers = self.random_peers(3);
         peers.retain(|name| name != target);
         peers.truncate(2);
@@ -266,57 +274,60 @@
         self.accept(record, now)
     }
 
-    /// Answers a false report about the box itself with a higher incarnation.
+    /// Refutes a report about this box by raising its own incarnation above the reported one.
     fn refute(&mut self, seen: &MemberRecord, now: Instant) -> bool {
         if seen.version() <= self.own_record().version() {
             return false;
         }
         let mut own = self.own_record().clone();
         own.incarnation = seen.incarnation.saturating_add(1);
-        self.put(own, now);
+        self.insert(own, now);
         true
     }
 
+    /// Stores a record if it is newer than the known one; returns whether it was.
     fn accept(&mut self, record: MemberRecord, now: Instant) -> bool {
         let known = self.members.get(&record.subject);
         if known.is_some_and(|m| m.record.version() >= record.version()) {
             return false;
         }
-        self.put(record, now);
+        self.insert(record, now);
         true
     }
 
-    fn put(&mut self, record: MemberRecord, now: Instant) {
-        // With a constant number a few of many boxes would miss the news until a full exchange.
-        let doublings = (self.members.len() + 2).ilog2() + 1;
-        let left_to_send = self.cfg.transmissions * doublings;
+    fn insert(&mut self, record: MemberRecord, now: Instant) {
+        // With a constant number of transmissions, some boxes of a large fleet would miss a change
+        // until their next full exchange.
+        let log2_members = (self.members.len() + 2).ilog2() + 1;
+        let transmissions_left = self.cfg.transmit_multiplier * log2_members;
         self.version += 1;
-        let member = Member { record, left_to_send, since: now };
+        let member = Member { record, transmissions_left, updated_at: now };
         self.members.insert(member.record.subject.clone(), member);
     }
 
+    /// Declares suspects dead after the timeout and removes dead members after the retention time.
     fn expire(&mut self, now: Instant) {
-        let suspicion = self.cfg.suspicion;
-        let confirmed: Vec<Subject> = self
+        let timeout = self.cfg.suspicion_timeout;
+        let expired: Vec<Subject> = self
             .members
             .iter()
             .filter(|(subject, m)| {
                 **subject != self.own
                     && m.record.status == MemberStatus::Suspect
-                    && now.duration_since(m.since) >= suspicion
+                    && now.duration_since(m.updated_at) >= timeout
             })
             .map(|(subject, _)| subject.clone())
             .collect();
-        for subject in confirmed {
-            self.mark(&subject, MemberStatus::Dead, now);
+        for subject in expired {
+            self.set_status(&subject, MemberStatus::Dead, now);
         }
         let forget = self.cfg.forget_after;
         let before = self.members.len();
         self.members.retain(|_, m| {
-            m.record.status != MemberStatus::Dead || now.duration_since(m.since) < forget
+            m.record.status != MemberStatus::Dead || now.duration_since(m.updated_at) < forget
         });
         self.version += u64::from(before != self.members.len());
-        self.heard.retain(|_, (_, at)| now.duration_since(*at) < forget);
+        self.peer_configs.retain(|_, (_, at)| now.duration_since(*at) < forget);
     }
 
     fn spread(&mut self) -> Vec<MembershipAction> {
--- a/crates/hatchpitch/src/membership/task.rs
+++ b/crates/hatchpitch/src/membership/task.rs
@@ -1,4 +1,4 @@
-//! Drives [`Membership`]: heartbeats over HTTP between boxes.
+//! Drives [`Membership`] by exchanging heartbeats with other boxes over HTTP.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,32 +15,34 @@
 pub const GOSSIP_PATH: &str = "/box/gossip";
 /// Path of probes on behalf of another box.
 pub const PROBE_PATH: &str = "/box/probe";
-/// Path of a bare heartbeat that carries nothing.
+/// Path of an empty probe message.
 pub const PING_PATH: &str = "/box/ping";
-const TICK: Duration = Duration::from_millis(100);
-const CALL_LIMIT: Duration = Duration::from_millis(500);
-/// Time between tries to reach a seed while no other box is known.
-const JOIN_REST: Duration = Duration::from_millis(500);
+/// Interval between calls of [`Membership::tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a call to another box.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between attempts to join through the seeds while no other box is known.
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Membership shared by the tasks of one box.
 pub type SharedMembership = Rc<RefCell<Membership>>;
 
-/// Joins through `seeds` and sends heartbeats until `stop`.
+/// Joins the fleet through `seeds` and sends heartbeats until `stop` is set.
 pub async fn run(state: SharedMembership, client: BoxClient, seeds: Vec<SocketAddr>, stop: Stop) {
     let mut next_join = clock::now();
     while !stop.is_set() {
         let now = clock::now();
-        if now >= next_join && is_alone(&state) {
-            next_join = now + JOIN_REST;
+        if now >= next_join && has_no_peers(&state) {
+            next_join = now + JOIN_RETRY_INTERVAL;
             join(&state, &client, &seeds).await;
         }
         let actions = state.borrow_mut().tick(now);
         perform(&state, &client, actions);
-        compio::time::sleep(TICK).await;
+        compio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-/// Answers a heartbeat.
+/// Merges the records of a heartbeat and returns the answer.
 pub fn answer(state: &SharedMembership, client: &BoxClient, gossip: Gossip) -> Gossip {
     let want_all = gossip.want_all;
     let actions = state.borrow_mut().on_gossip(gossip, clock::now());
@@ -48,13 +50,13 @@
     state.borrow_mut().compose(false, want_all)
 }
 
-/// Probes a box for another one.
+/// Probes a box on behalf of another one.
 pub async fn probe(client: &BoxClient, req: ProbeRequest) -> ProbeAnswer {
-    let answered = client.call::<_, ()>(req.target, PING_PATH, &(), CALL_LIMIT).await.is_ok();
+    let answered = client.call::<_, ()>(req.target, PING_PATH, &(), CALL_TIMEOUT).await.is_ok();
     ProbeAnswer { answered }
 }
 
-/// Carries out actions in tasks of their own.
+/// Spawns a task for each action.
 pub fn perform(state: &SharedMembership, client: &BoxClient, actions: Vec<MembershipAction>) {
     for action in actions {
         let (state, client) = (state.clone(), client.clone());
@@ -70,19 +72,19 @@
     }
 }
 
-fn is_alone(state: &SharedMembership) -> bool {
+fn has_no_peers(state: &SharedMembership) -> bool {
     state.borrow().serving_boxes().nth(1).is_none()
 }
 
 async fn join(state: &SharedMembership, client: &BoxClient, seeds: &[SocketAddr]) {
     for seed in seeds {
         let gossip = state.borrow_mut().compose(true, false);
-        match client.call::<_, Gossip>(*seed, GOSSIP_PATH, &gossip, CALL_LIMIT).await {
+        match client.call::<_, Gossip>(*seed, GOSSIP_PATH, &gossip, CALL_TIMEOUT).await {
             Ok(answer) => {
                 let actions = state.borrow_mut().on_gossip(answer, clock::now());
                 perform(state, client, actions);
             }
-            Err(err) => log::debug!("join through box {seed}: {err}"),
+            Err(err) => log::debug!("failed to join through box {seed}: {err}"),
         }
     }
 }
@@ -90,30 +92,31 @@
 async fn heartbeat(state: &SharedMembership, client: &BoxClient, to: BoxName, want_all: bool) {
     let Some(addr) = box_addr(state, &to) else { return };
     let gossip = state.borrow_mut().compose(want_all, false);
-    let actions = match client.call::<_, Gossip>(addr, GOSSIP_PATH, &gossip, CALL_LIMIT).await {
+    let actions = match client.call::<_, Gossip>(addr, GOSSIP_PATH, &gossip, CALL_TIMEOUT).await {
         Ok(answer) => state.borrow_mut().on_gossip(answer, clock::now()),
         Err(err) => {
-            log::debug!("heartbeat to {to}: {err}");
-            if probe_through_others(state, client, &to, addr).await {
+            log::debug!("heartbeat to {to} failed: {err}");
+            if probe_indirectly(state, client, &to, addr).await {
                 return;
             }
-            state.borrow_mut().on_silence(&to, clock::now())
+            state.borrow_mut().on_unreachable(&to, clock::now())
         }
     };
     perform(state, client, actions);
 }
 
-async fn probe_through_others(
+/// Asks other boxes to probe `target`; returns whether one of them reached it.
+async fn probe_indirectly(
     state: &SharedMembership,
     client: &BoxClient,
     to: &BoxName,
     target: SocketAddr,
 ) -> bool {
-    let helpers = state.borrow_mut().helpers(to);
-    for helper in helpers {
-        let Some(addr) = box_addr(state, &helper) else { continue };
+    let probers = state.borrow_mut().indirect_probers(to);
+    for prober in probers {
+        let Some(addr) = box_addr(state, &prober) else { continue };
         let req = ProbeRequest { target };
-        let answer = client.call::<_, ProbeAnswer>(addr, PROBE_PATH, &req, CALL_LIMIT * 2).await;
+        let answer = client.call::<_, ProbeAnswer>(addr, PROBE_PATH, &req, CALL_TIMEOUT * 2).await;
         if answer.is_ok_and(|answer| answer.answered) {
             return true;
         }
@@ -124,12 +127,12 @@
 async fn spread(state: &SharedMembership, client: &BoxClient, to: BoxName) {
     let Some(addr) = box_addr(state, &to) else { return };
     let gossip = state.borrow_mut().compose(false, false);
-    match client.call::<_, Gossip>(addr, GOSSIP_PATH, &gossip, CALL_LIMIT).await {
+    match client.call::<_, Gossip>(addr, GOSSIP_PATH, &gossip, CALL_TIMEOUT).await {
         Ok(answer) => {
             let actions = state.borrow_mut().on_gossip(answer, clock::now());
             perform(state, client, actions);
         }
-        Err(err) => log::debug!("news to {to}: {err}"),
+        Err(err) => log::debug!("failed to send membership changes to {to}: {err}"),
     }
 }
 
--- a/crates/hatchpitch/src/membership/verify.rs
+++ b/crates/hatchpitch/src/membership/verify.rs
@@ -3,32 +3,32 @@
 use super::messages::Subject;
 use super::state::Membership;
 
-/// Checks one box's knowledge.
+/// Checks the membership state of one box.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the violated invariant.
 pub fn verify(state: &Membership) -> Result<(), String> {
     if !matches!(state.own, Subject::Box(_)) || !state.members.contains_key(&state.own) {
-        return Err("the own record is missing".to_owned());
+        return Err("the box's own record is missing".to_owned());
     }
     match state.members.iter().find(|(subject, m)| m.record.subject != **subject) {
-        Some((subject, _)) => Err(format!("{subject:?} holds another member's record")),
+        Some((subject, _)) => Err(format!("{subject:?} holds the record of another member")),
         None => Ok(()),
     }
 }
 
-/// Checks that no member's record went back between two moments.
+/// Checks that no record was replaced by an older one between two states.
 ///
 /// # Errors
 ///
-/// Returns the member whose record went back.
+/// Returns a description of the violated invariant, or the member whose record is older.
 pub fn verify_step(before: &Membership, after: &Membership) -> Result<(), String> {
     verify(after)?;
     for record in before.records() {
         let now = after.get(&record.subject);
         if now.is_some_and(|now| now.version() < record.version()) {
-            return Err(format!("{:?} went back", record.subject));
+            return Err(format!("record of {:?} was replaced by an older one", record.subject));
         }
     }
     Ok(())
--- a/crates/hatchpitch/tests/membership.rs
+++ b/crates/hatchpitch/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership among many boxes, with messages that the test carries.
+//! Simulates the membership protocol among many boxes; the test delivers the messages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 struct Net {
     boxes: BTreeMap<String, Membership>,
-    /// Boxes that neither send nor receive.
+    /// Boxes whose messages are lost in both directions.
     frozen: Vec<String>,
     now: Instant,
     messages: u64,
@@ -44,7 +44,7 @@
             let membership = Membership::new(own, MembershipConfig::default(), i as u64, now);
             net.boxes.insert(box_named(i), membership);
         }
-        // Everybody joins through the first box.
+        // All boxes join through the first one.
         for i in 1..count {
             net.exchange(&box_named(i), &box_named(0), true);
         }
@@ -81,7 +81,7 @@
                         continue;
                     }
                     let now = self.now;
-                    let news = self.boxes.get_mut(at).unwrap().on_silence(&to, now);
+                    let news = self.boxes.get_mut(at).unwrap().on_unreachable(&to, now);
                     self.perform(at, news);
                 }
             }
@@ -108,13 +108,13 @@
         live.map(|(_, state)| state.get(subject).map(|r| r.status)).collect()
     }
 
-    fn all_say(&self, subject: &Subject, status: MemberStatus) -> bool {
+    fn all_have_status(&self, subject: &Subject, status: MemberStatus) -> bool {
         self.statuses(subject).iter().all(|found| *found == Some(status))
     }
 }
 
 #[test]
-fn every_box_learns_of_every_other() {
+fn every_box_discovers_every_other() {
     let mut net = Net::new(48);
     net.run(Duration::from_secs(3));
     for state in net.boxes.values() {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_leaving_upstream_is_known_everywhere_within_two_seconds_and_never_comes_back() {
+fn leaving_status_reaches_all_boxes_within_two_seconds_and_is_not_reverted() {
     for count in [3, 12, 48, 370] {
         let mut net = Net::new(count);
         net.run(Duration::from_secs(3));
@@ -133,42 +133,42 @@
         let news = net.boxes.get_mut(&box_named(1)).unwrap().observe(leaving, now);
         net.perform(&box_named(1), news);
         net.run(Duration::from_millis(1_900));
-        assert!(net.all_say(&subject, MemberStatus::Leaving), "{count} boxes");
+        assert!(net.all_have_status(&subject, MemberStatus::Leaving), "{count} boxes");
 
-        // A list that lags says that it lives, again and again.
+        // An outdated list keeps reporting the upstream as alive.
         for i in 0..count.min(12) {
             let now = net.now;
             let stale = record(subject.clone(), 7, MemberStatus::Alive);
             net.boxes.get_mut(&box_named(i)).unwrap().observe(stale, now);
         }
         net.run(Duration::from_secs(2));
-        assert!(net.all_say(&subject, MemberStatus::Leaving), "{count} boxes");
+        assert!(net.all_have_status(&subject, MemberStatus::Leaving), "{count} boxes");
 
-        // A new life under the same name comes back.
+        // A new incarnation under the same name is alive again.
         let now = net.now;
-        let born = record(subject.clone(), 8, MemberStatus::Alive);
-        let news = net.boxes.get_mut(&box_named(2)).unwrap().observe(born, now);
+        let restarted = record(subject.clone(), 8, MemberStatus::Alive);
+        let news = net.boxes.get_mut(&box_named(2)).unwrap().observe(restarted, now);
         net.perform(&box_named(2), news);
         net.run(Duration::from_millis(1_900));
-        assert!(net.all_say(&subject, MemberStatus::Alive), "{count} boxes");
+        assert!(net.all_have_status(&subject, MemberStatus::Alive), "{count} boxes");
     }
 }
 
 #[test]
-fn a_frozen_box_is_found_dead_and_refutes_it_when_it_thaws() {
+fn frozen_box_is_declared_dead_and_refutes_it_after_resuming() {
     let mut net = Net::new(12);
     net.run(Duration::from_secs(3));
     let subject = Subject::Box(box_named(5));
     net.frozen.push(box_named(5));
     net.run(Duration::from_secs(20));
-    assert!(net.all_say(&subject, MemberStatus::Dead));
+    assert!(net.all_have_status(&subject, MemberStatus::Dead));
     net.frozen.clear();
     net.run(Duration::from_secs(20));
-    assert!(net.all_say(&subject, MemberStatus::Alive), "{:?}", net.statuses(&subject));
+    assert!(net.all_have_status(&subject, MemberStatus::Alive), "{:?}", net.statuses(&subject));
 }
 
 #[test]
-fn messages_a_box_do_not_grow_with_the_fleet() {
+fn message_rate_per_box_does_not_grow_with_fleet_size() {
     let mut rates = Vec::new();
     for count in [12, 48, 370] {
         let mut net = Net::new(count);
@@ -177,12 +177,12 @@
         net.run(Duration::from_secs(20));
         rates.push((net.messages - before) / count as u64 / 20);
     }
-    println!("messages a second and box, sent and received, at 12, 48 and 370 boxes: {rates:?}");
+    println!("messages per second and box, sent and received, at 12, 48 and 370 boxes: {rates:?}");
     assert!(rates.iter().all(|rate| *rate <= 8), "{rates:?}");
 }
 
 #[test]
-fn a_majority_of_boxes_confirms_a_configuration_and_one_that_is_ahead_denies_it() {
+fn majority_confirms_configuration_unless_a_peer_has_a_newer_one() {
     let mut net = Net::new(5);
     for state in net.boxes.values_mut() {
         state.set_config_number(3);
@@ -196,5 +196,8 @@
     assert!(!net.boxes[&first].peers_confirm(3, net.now, window));
     net.frozen = (1..5).map(box_named).collect();
     net.run(Duration::from_secs(20));
-    assert!(!net.boxes[&first].peers_confirm(3, net.now, window), "alone it confirms nothing");
+    assert!(
+        !net.boxes[&first].peers_confirm(3, net.now, window),
+        "a box without peers must not confirm"
+    );
 }
