--- a/crates/hatchpitch/src/registry/follow.rs
+++ b/crates/hatchpitch/src/registry/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the tables of control boxes from an entry box.
+//! Follows the upstream tables of control boxes from an entry box.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -16,46 +16,49 @@
 use crate::limits::backoff;
 use crate::quarantine::{self, QuarantineList};
 
-/// Path of the held requests.
+/// Path of long polls for table changes.
 pub const FOLLOW_PATH: &str = "/box/upstreams";
-/// How long a control box may hold a request. With the margin it is the time after which a box
-/// that fell silent is noticed and another one is followed for everything: a second, half of what
-/// an upstream that leaves has.
-const HOLD: Duration = Duration::from_millis(500);
-/// Time allowed for an answer beyond the hold.
+/// Time for which a control box may hold a poll. Together with the margin it bounds how long it
+/// takes to notice that a control box is silent and to follow another one in full: 1 s, half of
+/// the time that a leaving upstream grants.
+const POLL_HOLD: Duration = Duration::from_millis(500);
+/// Time allowed for an answer in addition to the hold.
 const ANSWER_MARGIN: Duration = Duration::from_millis(500);
-/// Time between looks for control boxes that nobody follows yet.
-const LOOK_PERIOD: Duration = Duration::from_millis(200);
-/// Control boxes that one entry box follows: one for everything, the other for what leaves or
-/// ended, so that it hears of that while the first one falls silent. What an upstream announces is
-/// at a majority of the control boxes when it is acknowledged, and at all of them that are in
-/// touch within a second, whoever is lost meanwhile.
+/// Interval between searches for control boxes to follow.
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of control boxes that one entry box follows: one in full, the other one for departures,
+/// which therefore still arrive when the first one falls silent. When a departure is acknowledged,
+/// a majority of the control boxes holds it. All connected ones hold it within 1 s, even if some
+/// are lost in the meantime.
 const MAX_FOLLOWED: usize = 2;
-/// Rest between two questions for departures, half of the time that an upstream that leaves has.
-const DEPARTURES_REST: Duration = Duration::from_millis(1_000);
-/// Shortest time between two questions for everything, for each upstream: of more of them more
-/// changes are to be told together, and each answer costs some 600 bytes beside what it tells.
-const REST_AN_UPSTREAM: Duration = Duration::from_micros(33);
-/// Bounds of that time: what a caller does not notice, and a twentieth of the time that an
-/// upstream that leaves has.
-const REST_BOUNDS: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
-/// Failures in a row after which a control box that no other names is no longer followed.
+/// Pause between two polls for departures: half of the time that a leaving upstream grants.
+const DEPARTURES_POLL_PAUSE: Duration = Duration::from_millis(1_000);
+/// Minimum interval between two full polls, per upstream. With more upstreams, more changes are
+/// combined into one answer, each of which costs about 600 bytes in addition to the changes.
+const POLL_INTERVAL_PER_UPSTREAM: Duration = Duration::from_micros(33);
+/// Bounds of the interval between two full polls: a delay that callers do not notice, and a
+/// twentieth of the time that a leaving upstream grants.
+const POLL_INTERVAL_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(5), Duration::from_millis(100));
+/// Number of consecutive failures after which a control box that is not in the settings is no
+/// longer followed.
 const MAX_FAILURES: u32 = 50;
 
-/// What the followers of one entry process share.
+/// State shared by the follower tasks of one entry process.
 pub struct Followed {
-    /// The upstreams.
+    /// The known upstreams.
     pub roster: RefCell<Roster>,
-    /// Control boxes, from the settings and from what control boxes tell.
+    /// Addresses of control boxes, from the settings and from answers of control boxes.
     pub control: RefCell<BTreeSet<SocketAddr>>,
     from_settings: RefCell<BTreeSet<SocketAddr>>,
+    /// Control boxes for which a follower task runs.
     running: RefCell<BTreeSet<SocketAddr>>,
-    /// Those of `running` that do not answer, or are out of touch with the core.
-    doubtful: RefCell<BTreeSet<SocketAddr>>,
+    /// Members of `running` that do not answer or are disconnected from the control core.
+    unhealthy: RefCell<BTreeSet<SocketAddr>>,
 }
 
 impl Followed {
-    /// Creates the shared state with the control boxes of the settings.
+    /// Creates the state with the control boxes from the settings.
     pub fn new(control: &[SocketAddr]) -> Rc<Self> {
         let control: BTreeSet<SocketAddr> = control.iter().copied().collect();
         Rc::new(Self {
@@ -63,89 +66,94 @@
             control: RefCell::new(control.clone()),
             from_settings: RefCell::new(control),
             running: RefCell::default(),
-            doubtful: RefCell::default(),
+            unhealthy: RefCell::default(),
         })
     }
 
-    /// Takes in the control boxes of changed settings.
+    /// Updates the control boxes after a change of the settings.
     pub fn set_settings(&self, control: &[SocketAddr]) {
         *self.from_settings.borrow_mut() = control.iter().copied().collect();
         self.control.borrow_mut().extend(control);
     }
 
-    /// Returns the control boxes to begin to follow: each entry box prefers others.
+    /// Returns the control boxes to start following. The order of preference differs between entry
+    /// boxes.
     pub fn candidates(&self, own: &str) -> Vec<SocketAddr> {
         let running = self.running.borrow();
-        let sound = running.difference(&self.doubtful.borrow()).count();
-        let mut left = self.control();
-        left.retain(|addr| !running.contains(addr));
-        left.sort_by_key(|addr| weight(own, *addr));
-        left.truncate(MAX_FOLLOWED.saturating_sub(sound));
-        left
+        let healthy = running.difference(&self.unhealthy.borrow()).count();
+        let mut candidates = self.control();
+        candidates.retain(|addr| !running.contains(addr));
+        candidates.sort_by_key(|addr| weight(own, *addr));
+        candidates.truncate(MAX_FOLLOWED.saturating_sub(healthy));
+        candidates
     }
 
-    /// Returns whether this is the control box that is followed for everything: each entry box
-    /// prefers another one of those that answer and are in touch with the core.
-    pub fn is_first(&self, own: &str, source: SocketAddr) -> bool {
-        let (running, doubtful) = (self.running.borrow(), self.doubtful.borrow());
-        let sound = first_of(own, running.difference(&doubtful).copied());
-        sound.or_else(|| first_of(own, running.iter().copied())) == Some(source)
+    /// Returns whether `source` is the control box that is followed in full. It is the preferred
+    /// one of the healthy control boxes, or of all followed ones if none is healthy.
+    pub fn is_primary(&self, own: &str, source: SocketAddr) -> bool {
+        let (running, unhealthy) = (self.running.borrow(), self.unhealthy.borrow());
+        let healthy = preferred_source(own, running.difference(&unhealthy).copied());
+        healthy.or_else(|| preferred_source(own, running.iter().copied())) == Some(source)
     }
 
-    /// Returns how much to ask a control box for.
+    /// Returns the level of detail to request from a control box.
     fn detail(&self, own: &str, source: SocketAddr) -> Detail {
-        if self.is_first(own, source) { Detail::Whole } else { Detail::Departures }
+        if self.is_primary(own, source) { Detail::Whole } else { Detail::Departures }
     }
 
-    fn set_doubtful(&self, source: SocketAddr, is_doubtful: bool) {
-        let mut doubtful = self.doubtful.borrow_mut();
-        if is_doubtful {
-            doubtful.insert(source);
+    fn set_unhealthy(&self, source: SocketAddr, is_unhealthy: bool) {
+        let mut unhealthy = self.unhealthy.borrow_mut();
+        if is_unhealthy {
+            unhealthy.insert(source);
         } else {
-            doubtful.remove(&source);
+            unhealthy.remove(&source);
         }
     }
 
-    /// Forgets a control box that is followed no more; it may be named again.
+    /// Removes a control box that is no longer followed. It may be reported again later.
     fn forget(&self, source: SocketAddr) {
         self.running.borrow_mut().remove(&source);
-        self.set_doubtful(source, false);
+        self.set_unhealthy(source, false);
         self.control.borrow_mut().remove(&source);
     }
 
-    /// Returns the control boxes that are known.
+    /// Returns the addresses of the known control boxes.
     pub fn control(&self) -> Vec<SocketAddr> {
         self.control.borrow().iter().copied().collect()
     }
 }
 
-/// Returns the control box of some that an entry box follows for everything.
-pub fn first_of(own: &str, control: impl Iterator<Item = SocketAddr>) -> Option<SocketAddr> {
+/// Returns the control box that the entry box `own` prefers to follow in full.
+pub fn preferred_source(
+    own: &str,
+    control: impl Iterator<Item = SocketAddr>,
+) -> Option<SocketAddr> {
     control.min_by_key(|addr| weight(own, *addr))
 }
 
+/// Returns the rendezvous hash of an entry box and a control box; the smallest one is preferred.
 fn weight(own: &str, addr: SocketAddr) -> u64 {
     XxHash64::oneshot(0, [own.as_bytes(), addr.to_string().as_bytes()].concat().as_slice())
 }
 
-/// What a follower does beside keeping the roster.
+/// Callbacks for the orders that follow answers carry in addition to upstreams.
 #[derive(Clone)]
 pub struct OrderHints {
-    /// Returns the highest configuration number that is in force here or being fetched.
+    /// Returns the greatest configuration number that is in force or being fetched.
     pub number: Rc<dyn Fn() -> ConfigNumber>,
-    /// Called when a control box has a newer one, with its address and that number.
+    /// Called with the address of a control box that has a newer configuration, and its number.
     pub newer_at: Rc<dyn Fn(SocketAddr, ConfigNumber)>,
-    /// Returns the revision of the evacuations in force here.
+    /// Returns the revision of the evacuations in force.
     pub evacuations: Rc<dyn Fn() -> Revision>,
     /// Called with newer evacuations.
     pub evacuated: Rc<dyn Fn(&Evacuations)>,
-    /// Returns the revision of the list of held requests in force here.
+    /// Returns the revision of the quarantine list in force.
     pub quarantine: Rc<dyn Fn() -> quarantine::Revision>,
-    /// Called with a newer list of held requests.
+    /// Called with a newer quarantine list.
     pub quarantined: Rc<dyn Fn(&QuarantineList)>,
 }
 
-/// Follows control boxes, as many as are wanted and answer, until `stop`.
+/// Keeps up to two healthy control boxes followed until `stop` is set.
 pub async fn run(
     own: BoxName,
     followed: Rc<Followed>,
@@ -161,10 +169,11 @@
                 compio::runtime::spawn(task).detach();
             }
         }
-        compio::time::sleep(LOOK_PERIOD).await;
+        compio::time::sleep(DISCOVERY_INTERVAL).await;
     }
 }
 
+/// Polls one control box until `stop` is set or it has failed too often.
 async fn follow(
     own: BoxName,
     source: SocketAddr,
@@ -175,7 +184,7 @@
 ) {
     let mut failures = 0;
     while !stop.is_set() && failures < MAX_FAILURES {
-        let asked = clock::now();
+        let asked_at = clock::now();
         let detail = followed.detail(&own, source);
         let (epoch, have) = followed.roster.borrow().position(source, detail);
         let req = FollowRequest {
@@ -183,33 +192,34 @@
             epoch,
             have,
             config: (hints.number)(),
-            hold: HOLD,
+            hold: POLL_HOLD,
             detail,
             evacuations: (hints.evacuations)(),
             quarantine: (hints.quarantine)(),
         };
-        let call = client.call::<_, FollowAnswer>(source, FOLLOW_PATH, &req, HOLD + ANSWER_MARGIN);
+        let call =
+            client.call::<_, FollowAnswer>(source, FOLLOW_PATH, &req, POLL_HOLD + ANSWER_MARGIN);
         match call.await {
             Ok(answer) => {
                 failures = 0;
                 let more = answer.more;
-                take(&followed, source, detail, answer, &hints);
-                let rest = match followed.detail(&own, source) {
+                apply_answer(&followed, source, detail, answer, &hints);
+                let pause = match followed.detail(&own, source) {
                     _ if more => Duration::ZERO,
-                    Detail::Departures => DEPARTURES_REST,
+                    Detail::Departures => DEPARTURES_POLL_PAUSE,
                     Detail::Named | Detail::Whole => {
                         let known = followed.roster.borrow().len();
-                        question_period(known).saturating_sub(clock::since(asked))
+                        question_period(known).saturating_sub(clock::since(asked_at))
                     }
                 };
-                compio::time::sleep(rest).await;
+                compio::time::sleep(pause).await;
             }
             Err(err) => {
                 if failures == 0 {
                     log::info!("control box {source} is out of reach: {err}");
                 }
                 failures += 1;
-                followed.set_doubtful(source, true);
+                followed.set_unhealthy(source, true);
                 compio::time::sleep(backoff::delay(failures)).await;
             }
         }
@@ -220,21 +230,23 @@
     followed.forget(source);
 }
 
-/// Returns the shortest time between two questions for everything, with so many upstreams.
+/// Returns the minimum interval between two full polls for a number of upstreams.
 pub fn question_period(upstreams: usize) -> Duration {
     let count = u32::try_from(upstreams).unwrap_or(u32::MAX);
-    REST_AN_UPSTREAM.saturating_mul(count).clamp(REST_BOUNDS.0, REST_BOUNDS.1)
+    POLL_INTERVAL_PER_UPSTREAM
+        .saturating_mul(count)
+        .clamp(POLL_INTERVAL_BOUNDS.0, POLL_INTERVAL_BOUNDS.1)
 }
 
-/// Takes an answer of a control box that is followed.
-fn take(
+/// Applies the answer of a followed control box.
+fn apply_answer(
     followed: &Followed,
     source: SocketAddr,
-    asked: Detail,
+    requested: Detail,
     answer: FollowAnswer,
     hints: &OrderHints,
 ) {
-    followed.set_doubtful(source, answer.out_of_touch);
+    followed.set_unhealthy(source, answer.out_of_touch);
     followed.control.borrow_mut().extend(&answer.control);
     if answer.config > (hints.number)() {
         (hints.newer_at)(source, answer.config);
@@ -247,7 +259,7 @@
     }
     let (epoch, version) = (answer.epoch, answer.version);
     let mut roster = followed.roster.borrow_mut();
-    match roster.take(source, asked, answer, clock::now()) {
+    match roster.take(source, requested, answer, clock::now()) {
         Ok(true) => {
             let (serving, leaving) = (roster.serving().count(), roster.leaving().count());
             log::info!(
@@ -256,6 +268,6 @@
             );
         }
         Ok(false) => {}
-        Err(err) => log::warn!("control box {source}: records do not decode: {err}"),
+        Err(err) => log::warn!("control box {source}: failed to decode upstream records: {err}"),
     }
 }
--- a/crates/hatchpitch/src/registry/life.rs
+++ b/crates/hatchpitch/src/registry/life.rs
@@ -1,36 +1,36 @@
-//! Names of upstreams' lives.
+//! Names of upstream incarnations, called lives.
 //!
-//! An upstream may start again under the id that it had. What belongs to a life before, such as
-//! slots, streams, copies and late announcements, must not touch the new one, so everything
-//! inside the product goes by the name of a life: the announced id and the time of birth. Only
-//! messages to the upstream itself name the id alone.
+//! An upstream may restart under the same id. State of an earlier incarnation, such as slots,
+//! streams, copies and delayed announcements, must not affect the new one. All internal state is
+//! therefore keyed by the name of an incarnation, which joins the announced id and the birth time.
+//! Only messages to the upstream itself use the id alone.
 
 use crate::ids::RunnerName;
 
-/// When a life began, in milliseconds since 1970 by the upstream's clock.
+/// Start time of an incarnation, in milliseconds since the Unix epoch by the upstream's clock.
 pub type Birth = u64;
-/// Name of one life of an upstream, never used again.
+/// Name of one incarnation of an upstream. It is never reused.
 pub type LifeName = RunnerName;
 
-/// Stands between the announced id and the time of birth.
+/// Separates the announced id from the birth time.
 const SEPARATOR: char = '@';
 
-/// Returns the name of a life: the id itself where the time of birth is not told.
+/// Returns the name of an incarnation, which is the id itself if the birth time is unknown.
 pub fn life_name(id: &str, born: Option<Birth>) -> LifeName {
     match born {
         Some(born) => format!("{id}{SEPARATOR}{born}"),
-        // An empty time of birth keeps ids that hold the separator apart from names of lives.
+        // An empty birth time distinguishes ids that contain the separator from incarnation names.
         None if id.contains(SEPARATOR) => format!("{id}{SEPARATOR}"),
         None => id.to_owned(),
     }
 }
 
-/// Returns the id under which a life announces itself.
+/// Returns the id under which an incarnation announces itself.
 pub fn announced_id(life: &str) -> &str {
     life.rsplit_once(SEPARATOR).map_or(life, |(id, _)| id)
 }
 
-/// Returns when a life began, if its name tells.
+/// Returns the birth time of an incarnation, if its name contains one.
 pub fn birth_of(life: &str) -> Option<Birth> {
     life.rsplit_once(SEPARATOR)?.1.parse().ok()
 }
--- a/crates/hatchpitch/src/registry/messages.rs
+++ b/crates/hatchpitch/src/registry/messages.rs
@@ -1,4 +1,4 @@
-//! Messages about upstreams that announce themselves.
+//! Records of announced upstreams and the messages that distribute them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,105 +10,108 @@
 use crate::ids::{BoxName, ConfigNumber, FailureDomainName, RunnerName, ServiceName};
 use crate::quarantine::{self, QuarantineList};
 
-/// Life of a control process; a table of another life starts from nothing.
+/// Identifies one run of a control process, whose table starts empty.
 pub type Epoch = u64;
-/// Position among the changes of one table.
+/// Sequence number of a change of one table.
 pub type Version = u64;
 
-/// Where an upstream stands in its life; it only moves to the right.
+/// Phase of an upstream within one incarnation; it only moves towards later variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// It takes work.
+    /// The upstream accepts work.
     Serving,
-    /// It finishes what it has.
+    /// The upstream finishes its work and accepts no more.
     Leaving,
 }
 
-/// What an upstream announces.
+/// The announcement of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Id under which it announces itself; a later life may have it again.
+    /// Id under which the upstream announces itself; a later incarnation may reuse it.
     pub id: RunnerName,
-    /// The service that it runs.
+    /// Service that the upstream runs.
     pub service: ServiceName,
-    /// Where it listens; another upstream may get the address later.
+    /// Address on which it listens; another upstream may get the address later.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the upstream.
     pub failure_domain: FailureDomainName,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u64,
-    /// Its phase.
+    /// Phase of the upstream.
     pub phase: Phase,
-    /// Time for which it stays cold, counted from the announcement.
+    /// Time from the announcement until the upstream is warm.
     pub warm_in: Duration,
-    /// Grows with each announcement of this life.
+    /// Sequence number of the announcement within the incarnation.
     pub sequence: u64,
-    /// When this life began, if the upstream tells.
+    /// Birth time of the incarnation, if the upstream announces one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<Birth>,
 }
 
-/// Largest sequence of a life's first announcement: the one before it may have been lost.
-const FIRST_SEQUENCE: u64 = 2;
+/// Greatest sequence number at which an incarnation counts as new. It is 2 because the first
+/// announcement may have been lost.
+const MAX_NEW_SEQUENCE: u64 = 2;
 
 impl UpstreamRecord {
-    /// Returns the name of this life.
+    /// Returns the name of this incarnation.
     pub fn life(&self) -> LifeName {
         life_name(&self.id, self.born)
     }
 
-    /// Returns whether the life has just begun, so that any other at its address is over. A life
-    /// that is older and yet unknown may be one of before, whose announcement was held up.
+    /// Returns whether the incarnation has just started, so that any other one at its address has
+    /// ended. An unknown incarnation with a greater sequence number may be an earlier one whose
+    /// announcement was delayed.
     pub fn is_new_life(&self) -> bool {
-        self.sequence <= FIRST_SEQUENCE
+        self.sequence <= MAX_NEW_SEQUENCE
     }
 
-    /// Returns whether this record takes the place of `known`, one of the same life: a later
-    /// phase, or a later announcement of the same phase. An announcement that arrives late never
-    /// brings an upstream back.
+    /// Returns whether this record replaces `known`, a record of the same incarnation. It does if
+    /// it has a later phase, or the same phase and a greater sequence number, so a delayed
+    /// announcement never returns a leaving upstream to service.
     pub fn supersedes(&self, known: &Self) -> bool {
         (self.phase, self.sequence) > (known.phase, known.sequence)
     }
 
-    /// Returns whether this life began after `other`; `None` if one of them does not tell.
+    /// Returns whether this incarnation started after `other`, or `None` if either birth time is
+    /// unknown.
     pub fn is_younger_than(&self, other: &Self) -> Option<bool> {
         Some(self.born? > other.born?)
     }
 }
 
-/// What one control box tells another.
+/// Changes of the registry, sent from one control box to another.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RegistryNews {
-    /// Announcements, new or renewed.
+    /// New or renewed announcements.
     pub records: Vec<UpstreamRecord>,
-    /// Ids whose only life ended, for boxes that know of no others.
+    /// Ids whose incarnation ended, for boxes of earlier versions, which know only ids.
     pub ended: Vec<RunnerName>,
-    /// Lives that ended; `None` from a box that names them by id.
+    /// Incarnations that ended; `None` if the sender reports only ids.
     #[serde(default)]
     pub ended_lives: Option<Vec<LifeName>>,
-    /// The announcements, if all control boxes that the sender knows can unpack them.
+    /// Packed announcements, used if all control boxes known to the sender can unpack them.
     #[serde(default)]
     pub packed: Option<PackedRecords>,
-    /// Whether the sender can unpack records.
+    /// Whether the sender can unpack packed records.
     #[serde(default)]
     pub unpacks: bool,
-    /// Life of the sender's table; a new one knows nothing yet.
+    /// Epoch of the sender's table; the table of a new epoch is empty.
     #[serde(default)]
     pub epoch: Epoch,
-    /// Where other boxes reach the sender.
+    /// Address of the sender for other boxes.
     pub from: Option<SocketAddr>,
-    /// Where other boxes reach the control boxes that the sender knows.
+    /// Addresses for other boxes of the control boxes known to the sender.
     pub control: Vec<SocketAddr>,
 }
 
 impl RegistryNews {
-    /// Returns news of lives that ended.
+    /// Creates a message that reports ended incarnations.
     pub fn of_ends(lives: Vec<LifeName>) -> Self {
         let ended = lives.iter().map(|life| super::life::announced_id(life).to_owned()).collect();
         Self { ended, ended_lives: Some(lives), ..Self::default() }
     }
 
-    /// Adds what other news hold.
+    /// Appends the announcements and ends of another message.
     pub fn merge(&mut self, other: Self) {
         self.records.extend(other.records);
         self.ended.extend(other.ended);
@@ -117,16 +120,16 @@
         }
     }
 
-    /// Packs the announcements.
+    /// Moves the announcements into packed form.
     pub fn pack(&mut self) {
         self.packed = Some(PackedRecords::new(&std::mem::take(&mut self.records)));
     }
 
-    /// Unpacks the announcements, if they are packed.
+    /// Appends the packed announcements, if any, to the plain ones.
     ///
     /// # Errors
     ///
-    /// Returns an error as [`PackedRecords::records`] does.
+    /// Returns the error of [`PackedRecords::records`].
     pub fn unpack(&mut self) -> Result<(), rmp_serde::decode::Error> {
         if let Some(packed) = self.packed.take() {
             self.records.extend(packed.records()?);
@@ -134,44 +137,44 @@
         Ok(())
     }
 
-    /// Returns the lives that ended, as far as the sender names them.
+    /// Returns the ended incarnations, or their ids if the sender reports only ids.
     pub fn ends(&self) -> &[LifeName] {
         self.ended_lives.as_deref().unwrap_or(&self.ended)
     }
 }
 
-/// How much a follower wants to be told.
+/// The level of detail of an answer to a follower.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Detail {
-    /// Every change, with whole records by their field names: what boxes of before ask for.
+    /// All changes, with records encoded by field names. Boxes of earlier versions request this.
     #[default]
     Named,
-    /// Every change, with records packed.
+    /// All changes, with packed records.
     Whole,
-    /// Only which lives leave or ended.
+    /// Only the incarnations that leave or ended.
     Departures,
 }
 
-/// Asks a control box for changes of its table; the answer may be held back for `hold`.
+/// Asks a control box for changes of its table. The answer may be delayed by up to `hold`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// Who asks.
+    /// Name of the requesting box.
     pub from: BoxName,
-    /// The table's life that the asker followed last.
+    /// Epoch of the table that the requester last followed.
     pub epoch: Epoch,
-    /// The version that it has.
+    /// Table version that the requester has.
     pub have: Version,
-    /// The configuration number that it has.
+    /// Configuration number that the requester has.
     pub config: ConfigNumber,
-    /// How long the answer may be held back.
+    /// Maximum time to wait for a change before answering.
     pub hold: Duration,
-    /// How much it wants to be told.
+    /// Requested level of detail.
     #[serde(default)]
     pub detail: Detail,
-    /// The revision of the evacuations that it has.
+    /// Revision of the evacuations that the requester has.
     #[serde(default)]
     pub evacuations: Revision,
-    /// The revision of the list of held requests that it has.
+    /// Revision of the quarantine list that the requester has.
     #[serde(default)]
     pub quarantine: quarantine::Revision,
 }
@@ -179,78 +182,78 @@
 /// The answer to a [`FollowRequest`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct FollowAnswer {
-    /// The table's life.
+    /// Epoch of the table.
     pub epoch: Epoch,
-    /// Its version.
+    /// Table version up to which changes are reported.
     pub version: Version,
-    /// How much is told.
+    /// Level of detail of the answer.
     #[serde(default)]
     pub detail: Detail,
-    /// The version since which it is told; 0 tells all.
+    /// Table version after which changes are reported; 0 reports the whole table.
     #[serde(default)]
     pub since: Version,
-    /// Records that changed since, for [`Detail::Named`].
+    /// Changed records, for [`Detail::Named`].
     pub records: Vec<UpstreamRecord>,
-    /// The same for [`Detail::Whole`]: field after field, a third of the size.
+    /// Changed records for [`Detail::Whole`], packed to a third of the size.
     #[serde(default)]
     pub packed: Option<PackedRecords>,
-    /// Lives that leave: all of them for [`Detail::Departures`], those of which nothing else is to
-    /// be told for [`Detail::Whole`].
+    /// Incarnations that leave. For [`Detail::Whole`], only those of which nothing else changed.
     #[serde(default)]
     pub leaving: Vec<LifeName>,
-    /// Lives that ended since; by their ids for [`Detail::Named`].
+    /// Incarnations that ended; for [`Detail::Named`], their ids.
     pub ended: Vec<LifeName>,
-    /// Lives whose lease ran out since; they may announce themselves again.
+    /// Incarnations whose lease expired; they may announce themselves again.
     pub lapsed: Vec<LifeName>,
-    /// The configuration number in force at the control box.
+    /// Number of the configuration in force at the control box.
     pub config: ConfigNumber,
-    /// Whether the table is older than a lease, so that it knows every upstream in its reach, and
-    /// this answer tells the last of it.
+    /// Whether the answer reaches the end of a table that has received announcements for at least
+    /// one lease, so that it holds every upstream that can reach the control box.
     pub settled: bool,
-    /// Whether there are further changes, to be asked for at once.
+    /// Whether more changes remain, which the follower should request immediately.
     #[serde(default)]
     pub more: bool,
-    /// Whether the control box is out of touch with the core, so that its table may be behind.
+    /// Whether the control box is disconnected from the control core, so that its table may be
+    /// outdated.
     #[serde(default)]
     pub out_of_touch: bool,
-    /// Where other boxes reach the control boxes, as far as is known there.
+    /// Addresses for other boxes of the control boxes known to the answering one.
     pub control: Vec<SocketAddr>,
-    /// The evacuations, if they are newer than those asked with.
+    /// The evacuations, if newer than those of the requester.
     #[serde(default)]
     pub evacuations: Option<Evacuations>,
-    /// The list of held requests, if it is newer than the one asked with.
+    /// The quarantine list, if newer than that of the requester.
     #[serde(default)]
     pub quarantine: Option<QuarantineList>,
 }
 
-/// Records without the names of their fields.
+/// Upstream records encoded without field names.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedRecords(#[serde(with = "serde_bytes")] Vec<u8>);
 
 impl PackedRecords {
-    /// Packs records.
+    /// Encodes records.
     ///
     /// # Panics
     ///
-    /// Panics if a record does not encode, which its types rule out.
+    /// Panics if a record does not encode, which its field types rule out.
     pub fn new(records: &[UpstreamRecord]) -> Self {
         let packed: Vec<Packed<'_>> = records.iter().map(Packed::from).collect();
         Self(rmp_serde::to_vec(&packed).expect("records always encode"))
     }
 
-    /// Unpacks the records.
+    /// Decodes the records.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the bytes are none of [`PackedRecords::new`].
+    /// Returns the decoder's error if the bytes were not written by [`PackedRecords::new`].
     pub fn records(&self) -> Result<Vec<UpstreamRecord>, rmp_serde::decode::Error> {
         let packed: Vec<Packed<'_>> = rmp_serde::from_slice(&self.0)?;
         Ok(packed.into_iter().map(UpstreamRecord::from).collect())
     }
 }
 
-/// A record as it is packed: id, service, address, failure domain, slots, whether it leaves, time
-/// until it is warm in ms, sequence, time of birth.
+/// The packed form of a record: id, service, address, failure domain, slots, whether it leaves,
+/// time until it is warm in ms, sequence number and birth time.
 #[derive(Serialize, Deserialize)]
 struct Packed<'a>(&'a str, &'a str, SocketAddr, &'a str, u64, bool, u64, u64, Option<Birth>);
 
--- a/crates/hatchpitch/src/registry/mod.rs
+++ b/crates/hatchpitch/src/registry/mod.rs
@@ -1,10 +1,10 @@
-//! Upstreams that announce themselves, and how every entry box learns of them.
+//! Registry of upstreams that announce themselves, and its distribution to the entry boxes.
 //!
-//! Each control box keeps a table of announcements under leases, in memory
-//! only. It passes news to the other control boxes, and an upstream's leaving
-//! is acknowledged once a majority of them holds it. Entry boxes follow several
-//! control boxes with held requests and keep the union, so no single control
-//! box stands between a leaving upstream and the boxes that send it work.
+//! Each control box keeps a table of announcements under leases, in memory only. It forwards
+//! changes to the other control boxes, and acknowledges that an upstream leaves once a majority of
+//! them holds this. Entry boxes follow several control boxes with long polls and keep the union of
+//! their tables, so losing a single control box does not hide a leaving upstream from the boxes
+//! that send it work.
 
 pub mod follow;
 pub mod life;
--- a/crates/hatchpitch/src/registry/peers.rs
+++ b/crates/hatchpitch/src/registry/peers.rs
@@ -1,4 +1,4 @@
-//! Passes news about upstreams between control boxes.
+//! Distributes registry changes between control boxes.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,51 +13,53 @@
 use super::messages::RegistryNews;
 use super::table::RegistryCell;
 
-/// Path of news between control boxes.
+/// Path of registry changes between control boxes.
 pub const NEWS_PATH: &str = "/box/upstream-news";
-/// Time in which another control box has to take news: an upstream waits a second for its
-/// acknowledgement, and two tries have to fit.
-const NEWS_LIMIT: Duration = Duration::from_millis(400);
-/// Time between renewals of all leases at the other control boxes; a lease outlasts several.
-const RENEW_PERIOD: Duration = Duration::from_millis(1_000);
-/// Time between renewals while this box does not know the core: others learn of it by them.
-const LONELY_PERIOD: Duration = Duration::from_millis(150);
-/// Time between two looks at the leases after which this process must have stood still: two
-/// heartbeats of upstreams and more, which others took in meanwhile.
-const STILL_AFTER: Duration = Duration::from_millis(2_500);
-/// Time for which news are gathered into one message, for each upstream: more of them have more
-/// news. With 3,000, of which 77 tell one box something new each second, it takes a quarter of
-/// the calls; with tens nothing waits that a caller could notice.
-const GATHER_AN_UPSTREAM: Duration = Duration::from_micros(13);
-/// Longest time for which news are gathered: a tenth of the time until an upstream's
-/// acknowledgement is late.
-const LONGEST_GATHERING: Duration = Duration::from_millis(100);
+/// Timeout of a call with registry changes. An upstream waits 1 s for its acknowledgement, which
+/// has to cover two attempts.
+const NEWS_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval between lease renewals at the other control boxes; a lease spans several of them.
+const RENEW_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval between renewals while this box is disconnected from the control core. The renewals
+/// also make the other boxes aware of this one.
+const DISCONNECTED_RENEW_INTERVAL: Duration = Duration::from_millis(150);
+/// Time between two passes over the leases after which this process counts as stalled. It is more
+/// than two heartbeats of upstreams, which other control boxes received in the meantime.
+const STALL_THRESHOLD: Duration = Duration::from_millis(2_500);
+/// Time for which changes are batched into one message, per upstream. With 3,000 upstreams, of
+/// which 77 report a change to one box each second, batching reduces the calls to a quarter. With
+/// tens of upstreams, the delay is too short for a caller to notice.
+const BATCH_DELAY_PER_UPSTREAM: Duration = Duration::from_micros(13);
+/// Maximum time for which changes are batched: a tenth of the time within which an upstream expects
+/// its acknowledgement.
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// How the control boxes are reached.
+/// Access to the other control boxes.
 pub struct Peers {
-    /// Client for other boxes.
+    /// Client for calls to other boxes.
     pub client: BoxClient,
-    /// Returns where other boxes reach the other control boxes.
+    /// Returns the addresses of the other control boxes.
     pub find: Box<dyn Fn() -> Vec<SocketAddr>>,
-    /// Adds to news who sends them and what the receivers have to know.
+    /// Adds the sender and the other header fields to a message.
     pub complete: Box<dyn Fn(RegistryNews) -> RegistryNews>,
 }
 
-/// News that wait for the next message to the other control boxes.
+/// Changes that wait for the next message to the other control boxes.
 #[derive(Default)]
-pub struct Outbox(RefCell<Gathered>);
+pub struct Outbox(RefCell<Batch>);
 
 #[derive(Default)]
-struct Gathered {
+struct Batch {
     news: RegistryNews,
-    /// Who waits until a number of peers hold the news.
+    /// Senders that notify a waiter once the given number of peers holds the changes.
     waiting: Vec<(usize, oneshot::Sender<bool>)>,
-    begun: bool,
+    /// Whether a task that sends the batch is scheduled.
+    scheduled: bool,
 }
 
 impl Outbox {
-    /// Passes news on with the next message, and returns whether `wanted` peers hold them. How long
-    /// news are gathered depends on how many `upstreams` there are.
+    /// Sends changes with the next message and returns whether at least `wanted` peers hold them.
+    /// The batching delay depends on the number of `upstreams`.
     pub async fn pass_on(
         self: &Rc<Self>,
         peers: &Rc<Peers>,
@@ -66,20 +68,20 @@
         upstreams: usize,
     ) -> bool {
         let count = u32::try_from(upstreams).unwrap_or(u32::MAX);
-        let gathering = GATHER_AN_UPSTREAM.saturating_mul(count).min(LONGEST_GATHERING);
+        let delay = BATCH_DELAY_PER_UPSTREAM.saturating_mul(count).min(MAX_BATCH_DELAY);
         let (tx, rx) = oneshot::channel();
-        let begun = {
-            let mut gathered = self.0.borrow_mut();
-            gathered.news.merge(news);
-            gathered.waiting.push((wanted, tx));
-            std::mem::replace(&mut gathered.begun, true)
+        let scheduled = {
+            let mut batch = self.0.borrow_mut();
+            batch.news.merge(news);
+            batch.waiting.push((wanted, tx));
+            std::mem::replace(&mut batch.scheduled, true)
         };
-        if !begun {
+        if !scheduled {
             let (outbox, peers) = (self.clone(), peers.clone());
             compio::runtime::spawn(async move {
-                compio::time::sleep(gathering).await;
-                let gathered = outbox.0.take();
-                spread(&peers, gathered.news, gathered.waiting).await;
+                compio::time::sleep(delay).await;
+                let batch = outbox.0.take();
+                broadcast(&peers, batch.news, batch.waiting).await;
             })
             .detach();
         }
@@ -87,10 +89,10 @@
     }
 }
 
-/// Sends news to all peers, and tells who waits once as many as it wants hold them.
+/// Sends changes to all peers and notifies each waiter once enough peers hold them.
 ///
-/// The calls to the remaining peers go on in tasks of their own.
-async fn spread(
+/// Returns when no waiter is left; calls to the remaining peers continue in their own tasks.
+async fn broadcast(
     peers: &Peers,
     news: RegistryNews,
     mut waiting: Vec<(usize, oneshot::Sender<bool>)>,
@@ -108,54 +110,59 @@
             rx
         })
         .collect();
-    let mut held = 0;
+    let mut acknowledged = 0;
     loop {
-        for (_, tx) in waiting.extract_if(.., |(wanted, _)| *wanted <= held) {
-            // Whoever waited may have left.
+        for (_, tx) in waiting.extract_if(.., |(wanted, _)| *wanted <= acknowledged) {
+            // The waiter may have been dropped.
             let _ = tx.send(true);
         }
         if waiting.is_empty() {
             return;
         }
         match calls.next().await {
-            Some(answered) => held += usize::from(answered == Ok(true)),
-            // Closing the channels tells the others that too few hold the news.
+            Some(answered) => acknowledged += usize::from(answered == Ok(true)),
+            // Dropping the senders tells the remaining waiters that too few peers hold the changes.
             None => return,
         }
     }
 }
 
-/// Sends news to one peer; returns whether it holds them.
+/// Sends changes to one peer; returns whether it acknowledged them.
 pub async fn send(client: &BoxClient, peer: SocketAddr, news: &RegistryNews) -> bool {
-    match client.call::<_, ()>(peer, NEWS_PATH, news, NEWS_LIMIT).await {
+    match client.call::<_, ()>(peer, NEWS_PATH, news, NEWS_TIMEOUT).await {
         Ok(()) => true,
         Err(err) => {
-            log::debug!("news about upstreams: {err}");
+            log::debug!("failed to send registry changes to {peer}: {err}");
             false
         }
     }
 }
 
-/// Renews the leases at the other control boxes and lets leases here run out, until `stop`.
-/// `lonely` tells whether the core is unknown.
-pub async fn run(cell: Rc<RegistryCell>, peers: Rc<Peers>, lonely: impl Fn() -> bool, stop: Stop) {
-    let mut looked = clock::now();
+/// Renews the leases at the other control boxes and expires leases of the own table until `stop` is
+/// set. `disconnected` returns whether this box is disconnected from the control core.
+pub async fn run(
+    cell: Rc<RegistryCell>,
+    peers: Rc<Peers>,
+    disconnected: impl Fn() -> bool,
+    stop: Stop,
+) {
+    let mut last_pass = clock::now();
     while !stop.is_set() {
         let now = clock::now();
-        if now.duration_since(looked) > STILL_AFTER {
-            log::warn!("stood still for {} ms", now.duration_since(looked).as_millis());
-            cell.change(|table| table.stood_still(now));
+        if now.duration_since(last_pass) > STALL_THRESHOLD {
+            log::warn!("stood still for {} ms", now.duration_since(last_pass).as_millis());
+            cell.change(|table| table.on_stall(now));
         }
-        looked = now;
-        if lonely() {
-            cell.change(|table| table.was_out_of_touch(now));
+        last_pass = now;
+        if disconnected() {
+            cell.change(|table| table.on_disconnected(now));
         }
         for life in cell.change(|table| table.expire(clock::now())) {
             log::info!("upstream {life}: its lease ran out");
         }
         let renewals = cell.change(|table| table.take_renewals(clock::now()));
-        spread(&peers, renewals, Vec::new()).await;
-        let rest = if lonely() { LONELY_PERIOD } else { RENEW_PERIOD };
-        compio::time::sleep(rest).await;
+        broadcast(&peers, renewals, Vec::new()).await;
+        let interval = if disconnected() { DISCONNECTED_RENEW_INTERVAL } else { RENEW_INTERVAL };
+        compio::time::sleep(interval).await;
     }
 }
--- a/crates/hatchpitch/src/registry/roster.rs
+++ b/crates/hatchpitch/src/registry/roster.rs
@@ -1,8 +1,8 @@
-//! The upstreams as one entry box knows them, from what the control boxes tell.
+//! The upstreams known to one entry box, merged from the answers of control boxes.
 //!
-//! One control box at a time is followed for everything; what leaves or ended counts whoever
-//! tells it. When another one is followed for everything, what only the former one named stays
-//! until the new one has told all that it has.
+//! One control box at a time is followed in full. Departures are accepted from every control box.
+//! After a switch to another control box, upstreams reported only by the previous one are kept
+//! until the new one has reported its whole table.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,55 +11,59 @@
 use super::life::LifeName;
 use super::messages::{Detail, Epoch, FollowAnswer, PackedRecords, Phase, UpstreamRecord, Version};
 
-/// Lives that ended or leave and are remembered; beyond it the oldest are forgotten.
+/// Maximum number of remembered incarnations that ended, and of those that leave. The oldest ones
+/// are dropped first.
 const MAX_DEPARTED: usize = 65_536;
-/// Difference of the time at which an upstream is warm that is a change: below it lie the times
-/// that messages take.
-const COLD_CHANGE: Duration = Duration::from_millis(300);
+/// Difference in the time at which an upstream is warm above which it counts as a change. Smaller
+/// differences result from message latency.
+const WARM_TOLERANCE: Duration = Duration::from_millis(300);
 
+/// An upstream that at least one control box reports.
 #[derive(Debug, Clone)]
 pub(super) struct Known {
     pub(super) record: UpstreamRecord,
-    /// Control boxes that name it, and the life of the table that did.
+    /// Control boxes that report the upstream, with the epochs of their tables.
     pub(super) sources: BTreeMap<SocketAddr, Epoch>,
-    /// Version at which it was first named, and whether its life was new then.
-    pub(super) named: (Version, bool),
-    /// When it is warm.
+    /// Roster version at which it was first reported, and whether its incarnation was new then.
+    pub(super) first_reported: (Version, bool),
+    /// Time at which the upstream is warm.
     warm_at: Instant,
 }
 
-/// What this box has of a control box's table.
+/// The part of a control box's table that this box has received.
 #[derive(Debug, Clone, Copy, Default)]
 struct Position {
     epoch: Epoch,
-    /// Version up to which everything was told.
-    whole: Version,
-    /// Version up to which departures were told.
+    /// Version up to which all changes were received.
+    full: Version,
+    /// Version up to which departures were received.
     departures: Version,
 }
 
-/// What one entry box knows of all upstreams, by the names of their lives.
+/// The upstreams known to one entry box, by the names of their incarnations.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     pub(super) known: BTreeMap<LifeName, Known>,
-    /// Lives that ended, with the order in which this box heard of it.
+    /// Incarnations that ended, with the roster version at which this box learned of it.
     pub(super) ended: BTreeMap<LifeName, Version>,
-    /// Lives that leave and are not known otherwise, or said so themselves, with the order in which this box heard of it.
+    /// Incarnations that leave and have no record here, or that reported leaving themselves, with
+    /// the roster version at which this box learned of it.
     leaving: BTreeMap<LifeName, Version>,
+    /// Positions in the tables of control boxes.
     followed: BTreeMap<SocketAddr, Position>,
-    /// The control box, in one of its lives, that has told all that it has; nobody else's word
-    /// keeps an upstream.
+    /// Control box and epoch of the table that was last received completely. When it was adopted,
+    /// upstreams reported only by other control boxes were dropped.
     authority: Option<(SocketAddr, Epoch)>,
     version: Version,
 }
 
 impl Roster {
-    /// Returns a number that grows with every change.
+    /// Returns a number that grows with every change of the roster.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns how many upstreams are known.
+    /// Returns the number of known upstreams.
     pub fn len(&self) -> usize {
         self.known.len()
     }
@@ -69,32 +73,33 @@
         self.known.is_empty()
     }
 
-    /// Returns what this box has of a control box's table, for a question in this detail.
+    /// Returns the epoch and version of a control box's table that this box has at a level of
+    /// detail.
     pub fn position(&self, source: SocketAddr, detail: Detail) -> (Epoch, Version) {
         let position = self.followed.get(&source).copied().unwrap_or_default();
         let have = match detail {
             Detail::Departures => position.departures,
-            Detail::Named | Detail::Whole => position.whole,
+            Detail::Named | Detail::Whole => position.full,
         };
         (position.epoch, have)
     }
 
-    /// Takes in what a control box answered that was `asked` for so much; returns whether anything
-    /// changed.
+    /// Applies the answer of a control box to a request of detail `requested`; returns whether the
+    /// roster changed.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's error if the records do not unpack; nothing is taken then.
+    /// Returns the decoder's error if the records do not decode; the roster is unchanged then.
     pub fn take(
         &mut self,
         source: SocketAddr,
-        asked: Detail,
+        requested: Detail,
         answer: FollowAnswer,
         now: Instant,
     ) -> Result<bool, rmp_serde::decode::Error> {
         let before = self.version;
         let packed = answer.packed.as_ref().map(PackedRecords::records).transpose()?;
-        let covers_all = self.note_position(source, asked, &answer);
+        let covers_all = self.update_position(source, requested, &answer);
         let records = answer.records.into_iter().chain(packed.unwrap_or_default());
         for life in answer.ended {
             self.end(life);
@@ -103,56 +108,62 @@
             self.leave(life);
         }
         for life in answer.lapsed {
-            self.unname(&life, source);
+            self.remove_source(&life, source);
         }
         for record in records {
-            self.name(record, source, answer.epoch, now);
+            self.apply_record(record, source, answer.epoch, now);
         }
         if covers_all && answer.settled {
-            self.forget_former_lives(source, answer.epoch);
+            self.drop_previous_epochs(source, answer.epoch);
             if !answer.out_of_touch {
-                self.trust_only(source, answer.epoch);
+                self.set_authority(source, answer.epoch);
             }
         }
         Ok(before != self.version)
     }
 
-    /// Notes what this box has of a control box's table with an answer; returns whether that is all
-    /// up to the answer's version. A question for everything may be under way while another box
-    /// becomes the one that is believed; its answer then lacks what was dropped meanwhile.
-    fn note_position(&mut self, source: SocketAddr, asked: Detail, answer: &FollowAnswer) -> bool {
+    /// Updates the position in a control box's table from an answer; returns whether this box has
+    /// all changes up to the version of the answer. If another control box became the authority
+    /// while a full poll was in flight, the answer lacks the records that were dropped then.
+    fn update_position(
+        &mut self,
+        source: SocketAddr,
+        requested: Detail,
+        answer: &FollowAnswer,
+    ) -> bool {
         let position = self.followed.entry(source).or_default();
         if position.epoch != answer.epoch {
             *position = Position { epoch: answer.epoch, ..Position::default() };
         }
         position.departures = answer.version;
-        let covers_all = asked != Detail::Departures && answer.since <= position.whole;
+        let covers_all = requested != Detail::Departures && answer.since <= position.full;
         if covers_all {
-            position.whole = answer.version;
+            position.full = answer.version;
         }
         covers_all
     }
 
-    /// Iterates over the upstreams that take work.
+    /// Iterates over the upstreams that accept work.
     pub fn serving(&self) -> impl Iterator<Item = &UpstreamRecord> {
         self.known.values().map(|known| &known.record).filter(|r| r.phase == Phase::Serving)
     }
 
-    /// Looks a life up, whether it takes work or not.
+    /// Returns the record of an incarnation in any phase.
     pub fn get(&self, life: &str) -> Option<&UpstreamRecord> {
         self.known.get(life).map(|known| &known.record)
     }
 
-    /// Iterates over the upstreams that finish what they have.
+    /// Iterates over the upstreams that finish their work and accept no more.
     pub fn leaving(&self) -> impl Iterator<Item = &UpstreamRecord> {
         self.known.values().map(|known| &known.record).filter(|r| r.phase == Phase::Leaving)
     }
 
-    /// Returns when an upstream is warm, if its life is known.
+    /// Returns the time at which an upstream is warm, if its incarnation is known.
     pub fn warm_at(&self, life: &str) -> Option<Instant> {
         self.known.get(life).map(|known| known.warm_at)
     }
 
+    /// Removes an incarnation that ended.
     fn end(&mut self, life: LifeName) {
         if self.ended.contains_key(&life) {
             return;
@@ -164,6 +175,7 @@
         trim(&mut self.ended);
     }
 
+    /// Marks an incarnation as leaving, also if its record has not arrived yet.
     fn leave(&mut self, life: LifeName) {
         if self.ended.contains_key(&life) || self.leaving.contains_key(&life) {
             return;
@@ -181,7 +193,7 @@
         }
     }
 
-    /// Notes that an upstream said itself that it leaves, which its announcements may never tell.
+    /// Marks an upstream as leaving that reported this itself; its announcements may never do so.
     pub fn said_leaving(&mut self, life: &str) {
         self.leave(life.to_owned());
         if !self.ended.contains_key(life) {
@@ -190,7 +202,8 @@
         }
     }
 
-    fn unname(&mut self, life: &str, source: SocketAddr) {
+    /// Removes a control box from the sources of an upstream, which is dropped without any.
+    fn remove_source(&mut self, life: &str, source: SocketAddr) {
         let Some(known) = self.known.get_mut(life) else { return };
         known.sources.remove(&source);
         if known.sources.is_empty() {
@@ -199,7 +212,14 @@
         }
     }
 
-    fn name(&mut self, record: UpstreamRecord, source: SocketAddr, epoch: Epoch, now: Instant) {
+    /// Applies a record reported by a control box.
+    fn apply_record(
+        &mut self,
+        record: UpstreamRecord,
+        source: SocketAddr,
+        epoch: Epoch,
+        now: Instant,
+    ) {
         let life = record.life();
         if self.ended.contains_key(&life) {
             return;
@@ -208,7 +228,7 @@
         if let Some(known) = self.known.get_mut(&life) {
             known.sources.insert(source, epoch);
             if record.supersedes(&known.record) && record.addr == known.record.addr {
-                let colder = warm_at > known.warm_at + COLD_CHANGE;
+                let colder = warm_at > known.warm_at + WARM_TOLERANCE;
                 let changed = record.phase != known.record.phase || colder;
                 known.record = record;
                 known.warm_at = warm_at;
@@ -216,10 +236,10 @@
             }
             return;
         }
-        if self.is_older(&record) {
+        if self.is_outdated(&record) {
             return;
         }
-        self.end_former(&record);
+        self.end_predecessors(&record);
         self.version += 1;
         let mut record = record;
         let is_new = record.is_new_life();
@@ -227,61 +247,63 @@
             record.phase = Phase::Leaving;
         }
         let sources = BTreeMap::from([(source, epoch)]);
-        let named = (self.version, is_new);
-        self.known.insert(life, Known { record, sources, named, warm_at });
+        let first_reported = (self.version, is_new);
+        self.known.insert(life, Known { record, sources, first_reported, warm_at });
     }
 
-    /// Returns whether an unknown life is one before a known one of its id or at its address.
-    fn is_older(&self, record: &UpstreamRecord) -> bool {
+    /// Returns whether an unknown incarnation precedes a known one with its id or address.
+    fn is_outdated(&self, record: &UpstreamRecord) -> bool {
         self.known.values().map(|known| &known.record).any(|known| {
             if known.id == record.id {
-                // A box of before passes on what told its birth elsewhere.
+                // A box of an earlier version forwards records without their birth times.
                 return record.born.is_none() || record.is_younger_than(known) == Some(false);
             }
             known.addr == record.addr && record.is_younger_than(known) == Some(false)
         })
     }
 
-    /// Ends the lives that are over because `record` begins at their address or under their id.
-    fn end_former(&mut self, record: &UpstreamRecord) {
-        let former = self.known.values().map(|known| &known.record).filter(|known| {
-            // Of two older lives at one address the control boxes come to know which one ended.
+    /// Ends the incarnations that `record` replaces at their address or under their id.
+    fn end_predecessors(&mut self, record: &UpstreamRecord) {
+        let predecessors = self.known.values().map(|known| &known.record).filter(|known| {
+            // Which of two older incarnations at one address ended is left to the control boxes.
             let newer = record.is_younger_than(known).unwrap_or_else(|| record.is_new_life());
             known.id == record.id || (known.addr == record.addr && newer)
         });
-        let former: Vec<LifeName> = former.map(UpstreamRecord::life).collect();
-        for life in former {
+        let predecessors: Vec<LifeName> = predecessors.map(UpstreamRecord::life).collect();
+        for life in predecessors {
             self.end(life);
         }
     }
 
-    /// Drops what only an earlier life of a control box named.
-    fn forget_former_lives(&mut self, source: SocketAddr, epoch: Epoch) {
-        self.retain_sources(|named_by, named| named_by != source || named == epoch);
+    /// Drops the upstreams that only an earlier epoch of a control box reported.
+    fn drop_previous_epochs(&mut self, source: SocketAddr, epoch: Epoch) {
+        self.retain_sources(|reporter, reported| reporter != source || reported == epoch);
     }
 
-    /// Drops what a control box in touch, which has told all that it has, does not name.
-    fn trust_only(&mut self, source: SocketAddr, epoch: Epoch) {
+    /// Makes a connected control box whose whole table was received the authority, and drops the
+    /// upstreams that it does not report.
+    fn set_authority(&mut self, source: SocketAddr, epoch: Epoch) {
         if self.authority.replace((source, epoch)) == Some((source, epoch)) {
             return;
         }
-        self.retain_sources(|named_by, _| named_by == source);
-        // Followed for everything again, the others tell all that they have.
+        self.retain_sources(|reporter, _| reporter == source);
+        // If the others are followed in full again, they have to report their whole tables.
         let others = self.followed.iter_mut().filter(|(other, _)| **other != source);
-        others.for_each(|(_, position)| position.whole = 0);
+        others.for_each(|(_, position)| position.full = 0);
     }
 
+    /// Keeps the sources for which `keep` is true, and the upstreams that have one left.
     fn retain_sources(&mut self, keep: impl Fn(SocketAddr, Epoch) -> bool) {
         let before = self.known.len();
         self.known.retain(|_, known| {
-            known.sources.retain(|named_by, epoch| keep(*named_by, *epoch));
+            known.sources.retain(|reporter, epoch| keep(*reporter, *epoch));
             !known.sources.is_empty()
         });
         self.version += u64::from(before != self.known.len());
     }
 }
 
-/// Forgets the oldest entries of a table that has grown too large.
+/// Removes the oldest entries beyond [`MAX_DEPARTED`].
 fn trim(departed: &mut BTreeMap<LifeName, Version>) {
     while departed.len() > MAX_DEPARTED {
         let oldest = departed.iter().min_by_key(|(_, at)| **at).map(|(life, _)| life.clone());
--- a/crates/hatchpitch/src/registry/verify.rs
+++ b/crates/hatchpitch/src/registry/verify.rs
@@ -1,55 +1,58 @@
-//! Checks the invariants of a [`Table`] and a [`Roster`].
+//! Checks the invariants of [`Table`] and [`Roster`].
 
 use std::collections::BTreeSet;
 
 use super::roster::Roster;
 use super::table::Table;
 
-/// Checks a control box's table.
+/// Checks the table of a control box.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the violated invariant.
 pub fn verify_table(table: &Table) -> Result<(), String> {
     let (mut addrs, mut ids) = (BTreeSet::new(), BTreeSet::new());
-    for (id, held) in &table.held {
+    for (id, reg) in &table.registrations {
         if table.ended.contains_key(id) {
             return Err(format!("{id} is held although its life ended"));
         }
-        if held.changed > table.version {
-            return Err(format!("{id} changed after the newest version"));
+        if reg.changed_at > table.version {
+            return Err(format!("{id} changed at a version above that of the table"));
         }
-        if held.record.life() != *id {
-            return Err(format!("{id} holds the record of {}", held.record.life()));
+        if reg.record.life() != *id {
+            return Err(format!("{id} holds the record of {}", reg.record.life()));
         }
-        if !ids.insert(&held.record.id) {
-            return Err(format!("{} has two lives", held.record.id));
+        if !ids.insert(&reg.record.id) {
+            return Err(format!("{} has two incarnations", reg.record.id));
         }
-        if !addrs.insert(held.record.addr) {
-            return Err(format!("{} is held by two lives", held.record.addr));
+        if !addrs.insert(reg.record.addr) {
+            return Err(format!("{} is held by two incarnations", reg.record.addr));
         }
     }
     Ok(())
 }
 
-/// Checks an entry box's roster.
+/// Checks the roster of an entry box.
 ///
 /// # Errors
 ///
-/// Returns the invariant that does not hold.
+/// Returns a description of the violated invariant.
 pub fn verify_roster(roster: &Roster) -> Result<(), String> {
-    for (id, known) in &roster.known {
-        if roster.ended.contains_key(id) {
-            return Err(format!("{id} is known although its life ended"));
+    for (life, known) in &roster.known {
+        if roster.ended.contains_key(life) {
+            return Err(format!("{life} is known although its incarnation ended"));
         }
         if known.sources.is_empty() {
-            return Err(format!("{id} is named by no control box"));
+            return Err(format!("{life} is reported by no control box"));
         }
-        let (version, is_new) = known.named;
+        let (version, is_new) = known.first_reported;
         let mut others =
             roster.known.values().filter(|other| other.record.addr == known.record.addr);
-        if is_new && others.any(|other| other.named.0 < version) {
-            return Err(format!("{} is held by a life before the new one", known.record.addr));
+        if is_new && others.any(|other| other.first_reported.0 < version) {
+            return Err(format!(
+                "{} is held by an incarnation that a new one replaced",
+                known.record.addr
+            ));
         }
     }
     Ok(())
--- a/crates/hatchpitch/tests/join.rs
+++ b/crates/hatchpitch/tests/join.rs
@@ -1,4 +1,4 @@
-//! When a control box asks for a place in the log.
+//! Tests when a control box asks to join the replication group.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 }
 
 #[test]
-fn a_box_asks_until_it_has_a_vote() {
+fn box_asks_to_join_until_it_is_a_voter() {
     let mut members = Members::default();
     members.voters.extend([1, 2, 3].map(|id| (u64::from(id), peer(id))));
     let now = Duration::ZERO;
-    assert!(asks(&members, 4, now), "it is not known");
-    // The leader lost the lead between the two changes that let a box in.
+    assert!(asks(&members, 4, now), "not a member");
+    // The leader changed between adding the box as a learner and promoting it.
     members.learners.insert(4, peer(4));
-    assert!(asks(&members, 4, now), "it receives the log and does not count");
+    assert!(asks(&members, 4, now), "a learner has no vote");
     members.learners.clear();
     members.voters.insert(4, peer(4));
     assert!(!asks(&members, 4, now));
 }
 
 #[test]
-fn a_voter_asks_once_it_has_heard_of_no_leader_for_long() {
+fn voter_asks_to_join_after_a_long_time_without_a_leader() {
     let mut members = Members::default();
     members.voters.insert(1, peer(1));
     assert!(!asks(&members, 1, Duration::from_secs(2)));
--- a/crates/hatchpitch/tests/lives.rs
+++ b/crates/hatchpitch/tests/lives.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the id that they had.
+//! Tests upstreams that restart under the same id.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn names_of_lives_hold_the_id() {
+fn incarnation_names_contain_the_id() {
     for id in ["a", "a@1", "a@", "@"] {
         for born in [None, Some(0), Some(7)] {
             let life = life_name(id, born);
@@ -46,11 +46,11 @@
         }
     }
     assert_ne!(life_name("a", Some(1)), life_name("a@1", None));
-    assert_eq!(life_name("a", None), "a", "as boxes of before name it");
+    assert_eq!(life_name("a", None), "a", "boxes of earlier versions use the plain id");
 }
 
 #[test]
-fn an_upstream_that_said_it_leaves_and_is_born_again_serves() {
+fn leaving_upstream_serves_again_after_a_restart() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, 1_000, Phase::Leaving, 9), now);
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn nothing_of_an_older_life_touches_the_newer_one() {
+fn announcements_of_an_older_incarnation_do_not_affect_the_newer_one() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
-    // This control box never heard of the older life.
+    // This control box never learned of the older incarnation.
     table.announce(record("a", 1, 2_000, Phase::Serving, 3), now);
     for late in [
         record("a", 1, 1_000, Phase::Serving, 40),
@@ -75,30 +75,30 @@
     ] {
         assert_eq!(table.announce(late.clone(), now), Announced::Stale, "{late:?}");
     }
-    assert!(table.end("a@1000", now), "its end may still be news");
+    assert!(table.end("a@1000", now), "the end of the older incarnation was unknown");
     assert_eq!(alive(&table), ["a@2000"]);
-    // A heartbeat that does not tell a birth comes from a box of before, or from nobody we know.
-    let mut untold = record("a", 1, 0, Phase::Leaving, 50);
-    untold.born = None;
-    assert_eq!(table.announce(untold, now), Announced::Stale);
+    // A heartbeat without a birth time comes from a box of an earlier version or is unrelated.
+    let mut without_birth = record("a", 1, 0, Phase::Leaving, 50);
+    without_birth.born = None;
+    assert_eq!(table.announce(without_birth, now), Announced::Stale);
     assert_eq!(alive(&table), ["a@2000"]);
     verify_table(&table).unwrap();
 }
 
 #[test]
-fn an_end_of_which_only_the_id_is_told_ends_the_living_life_and_no_later_one() {
+fn end_by_id_ends_the_current_incarnation_but_no_later_one() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, 1_000, Phase::Serving, 9), now);
     assert_eq!(table.end_id("a", now), ["a@1000"]);
-    assert!(table.end_id("a", now).is_empty(), "it is told again");
+    assert!(table.end_id("a", now).is_empty(), "a repeated end changes nothing");
     assert_eq!(table.announce(record("a", 1, 1_000, Phase::Leaving, 10), now), Announced::Stale);
     assert_eq!(table.announce(record("a", 1, 2_000, Phase::Serving, 1), now), Announced::News);
     verify_table(&table).unwrap();
 }
 
 #[test]
-fn a_late_heartbeat_does_not_revive_a_life_that_ended_unheard_of() {
+fn delayed_heartbeat_does_not_revive_an_unknown_incarnation_that_ended() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     assert_eq!(table.end_id("a", now), ["a"]);
@@ -108,32 +108,32 @@
 }
 
 #[test]
-fn a_clock_that_was_set_back_keeps_an_upstream_away_for_seconds_only() {
+fn upstream_whose_clock_was_set_back_is_accepted_after_seconds() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, 5_000, Phase::Serving, 9), now);
     table.end_id("a", now);
-    let born_before = |at| record("a", 1, 4_000, Phase::Serving, at);
-    assert_eq!(table.announce(born_before(1), now + Duration::from_secs(2)), Announced::Stale);
+    let born_earlier = |at| record("a", 1, 4_000, Phase::Serving, at);
+    assert_eq!(table.announce(born_earlier(1), now + Duration::from_secs(2)), Announced::Stale);
     let later = now + Duration::from_secs(11);
-    assert_eq!(table.announce(born_before(9), later), Announced::News);
+    assert_eq!(table.announce(born_earlier(9), later), Announced::News);
 }
 
 #[test]
-fn other_control_boxes_end_the_life_that_one_of_them_did_not_know() {
+fn end_reported_by_id_ends_the_incarnation_at_other_control_boxes() {
     let cell = RegistryCell::new(1);
     let now = Instant::now();
     cell.change(|table| table.announce(record("a", 1, 1_000, Phase::Serving, 4), now));
     cell.take(RegistryNews::of_ends(vec!["a".to_owned()]));
     assert_eq!(cell.with(alive), Vec::<String>::new());
     cell.change(|table| table.announce(record("a", 1, 2_000, Phase::Serving, 1), now));
-    // The end of the former life is passed on for a while.
+    // The end of the previous incarnation is repeated for some time.
     cell.take(RegistryNews::of_ends(vec!["a@1000".to_owned()]));
     assert_eq!(cell.with(alive), ["a@2000"]);
 }
 
 #[test]
-fn an_entry_box_keeps_the_youngest_life_whoever_tells_of_it_last() {
+fn entry_box_keeps_the_youngest_incarnation_in_any_order_of_answers() {
     let now = Instant::now();
     let (mut one, mut two) = (Table::new(1, now), Table::new(2, now));
     one.announce(record("a", 1, 2_000, Phase::Serving, 7), now);
@@ -147,20 +147,20 @@
             verify_roster(&roster).unwrap();
         }
         assert_eq!(serving(&roster), ["a@2000"]);
-        assert!(roster.get("a@1000").is_none(), "what ran there is void");
+        assert!(roster.get("a@1000").is_none(), "the older incarnation must be unknown");
     }
 }
 
 #[test]
-fn departures_hold_before_and_after_the_record_itself_is_told() {
+fn departure_holds_whether_it_arrives_before_or_after_the_record() {
     let now = Instant::now();
-    let (mut behind, mut told) = (Table::new(1, now), Table::new(2, now));
-    behind.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
-    told.announce(record("a", 1, 1_000, Phase::Leaving, 3), now);
-    let departures = || told.changes(2, 0, Detail::Departures, now);
+    let (mut outdated, mut current) = (Table::new(1, now), Table::new(2, now));
+    outdated.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
+    current.announce(record("a", 1, 1_000, Phase::Leaving, 3), now);
+    let departures = || current.changes(2, 0, Detail::Departures, now);
     assert_eq!(departures().leaving, ["a@1000"]);
     assert!(departures().packed.is_none() && departures().records.is_empty());
-    let whole = || behind.changes(1, 0, Detail::Whole, now);
+    let whole = || outdated.changes(1, 0, Detail::Whole, now);
     let mut first = Roster::default();
     first.take(source(1), Detail::Whole, whole(), now).unwrap();
     first.take(source(2), Detail::Departures, departures(), now).unwrap();
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn who_knows_an_upstream_only_hears_that_it_leaves() {
+fn follower_with_the_record_receives_only_the_departure() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
@@ -188,13 +188,13 @@
     assert!(answer.packed.as_ref().unwrap().records().unwrap().is_empty());
     roster.take(source(1), Detail::Whole, answer, now).unwrap();
     assert_eq!((roster.serving().count(), roster.leaving().count()), (0, 1));
-    // Whoever does not know it hears everything.
+    // A follower without the record receives all of it.
     let all = table.changes(1, 0, Detail::Whole, now);
     assert_eq!(all.packed.unwrap().records().unwrap().len(), 1);
 }
 
 #[test]
-fn who_asks_for_departures_hears_once_of_each() {
+fn departures_are_reported_once_each() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     for id in ["a", "b", "c"] {
@@ -203,7 +203,8 @@
     table.announce(record("a", 97, 1, Phase::Leaving, 3), now);
     let answer = table.changes(1, 0, Detail::Departures, now);
     assert_eq!((answer.leaving, answer.ended.len()), (vec!["a@1".to_owned()], 0));
-    // One ends that was told to leave, one that left unheard of, one without a word.
+    // One ends whose departure was reported, one whose departure was not, and one that announced
+    // none.
     table.announce(record("b", 98, 1, Phase::Leaving, 3), now);
     for id in ["a", "b", "c"] {
         table.end_id(id, now);
@@ -213,14 +214,14 @@
 }
 
 #[test]
-fn a_leaving_that_a_majority_holds_reaches_the_others_although_its_witness_is_gone() {
+fn departure_held_by_a_majority_reaches_the_rest_after_the_acknowledging_box_is_lost() {
     let now = Instant::now();
     let mut tables: Vec<Table> = (0..5).map(|epoch| Table::new(epoch, now)).collect();
     for table in &mut tables {
         table.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
         table.take_renewals(now);
     }
-    // Box 0 acknowledged it, 1 and 2 hold it, and box 0 is gone before it says more.
+    // Boxes 0, 1 and 2 hold the departure. Box 0 acknowledged it and is then lost.
     for table in &mut tables[..3] {
         table.announce(record("a", 1, 1_000, Phase::Leaving, 3), now);
     }
@@ -232,12 +233,12 @@
         }
         assert_eq!(table.alive().next().unwrap().phase, Phase::Leaving);
     }
-    // It is passed on for a while, not for ever.
+    // The departure is repeated for a limited time.
     assert!(tables[1].take_renewals(now + Duration::from_secs(3)).records.is_empty());
 }
 
 #[test]
-fn when_another_control_box_is_followed_nobody_stays_for_the_word_of_the_former_one() {
+fn upstream_known_only_to_the_previously_followed_control_box_is_dropped() {
     let now = Instant::now();
     let (mut one, mut two) = (Table::new(1, now), Table::new(2, now));
     one.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
@@ -252,12 +253,12 @@
     take(&mut roster, 1, &one, 1, now);
     two.announce(record("a", 1, 1_000, Phase::Serving, 3), now);
     take(&mut roster, 2, &two, 2, now);
-    assert_eq!(serving(&roster).len(), 2, "the second one may not have heard of all yet");
+    assert_eq!(serving(&roster).len(), 2, "the second table may be incomplete");
     let settled = now + LEASE;
     two.announce(record("a", 1, 1_000, Phase::Serving, 8), settled);
     take(&mut roster, 2, &two, 2, settled);
     assert_eq!(serving(&roster), ["a@1000"]);
-    // Followed again, the first one tells all that it has.
+    // When it is followed again, the first control box reports its whole table.
     one.announce(record("a", 1, 1_000, Phase::Serving, 9), settled);
     take(&mut roster, 1, &one, 1, settled);
     assert!(serving(&roster).contains(&"a@1000".to_owned()));
@@ -267,10 +268,10 @@
 }
 
 #[test]
-fn a_control_box_that_stood_still_or_was_cut_off_takes_nobody_from_an_entry_box() {
+fn stalled_or_disconnected_control_box_does_not_remove_live_upstreams() {
     let now = Instant::now();
-    let (mut woken, mut other) = (Table::new(1, now), Table::new(2, now));
-    for table in [&mut woken, &mut other] {
+    let (mut stalled, mut other) = (Table::new(1, now), Table::new(2, now));
+    for table in [&mut stalled, &mut other] {
         table.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
         table.announce(record("b", 2, 1_000, Phase::Serving, 2), now);
     }
@@ -282,29 +283,32 @@
     roster
         .take(source(2), Detail::Whole, other.changes(2, 0, Detail::Whole, later), later)
         .unwrap();
-    // It stood still for longer than a lease, and is followed for everything again.
-    woken.stood_still(later);
-    assert!(woken.expire(later).is_empty(), "no lease ran out because it was away");
-    woken.end_id("b", later);
-    let answer = woken.changes(1, 0, Detail::Whole, later);
+    // The first box stalled for longer than a lease and is then followed in full again.
+    stalled.on_stall(later);
+    assert!(stalled.expire(later).is_empty(), "a stall must not expire leases");
+    stalled.end_id("b", later);
+    let answer = stalled.changes(1, 0, Detail::Whole, later);
     assert!(!answer.settled);
     roster.take(source(1), Detail::Whole, answer, later).unwrap();
     assert_eq!(serving(&roster), ["a@1000"]);
-    // One that was cut off has let leases run out, and is believed a lease after it is back.
-    let mut cut = Table::new(3, now);
-    cut.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
-    cut.was_out_of_touch(later);
-    assert_eq!(cut.expire(later), ["a@1000"]);
-    roster.take(source(3), Detail::Whole, cut.changes(3, 0, Detail::Whole, later), later).unwrap();
+    // A disconnected box has expired leases. Its table counts as complete one lease after it
+    // reconnects.
+    let mut disconnected = Table::new(3, now);
+    disconnected.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
+    disconnected.on_disconnected(later);
+    assert_eq!(disconnected.expire(later), ["a@1000"]);
+    roster
+        .take(source(3), Detail::Whole, disconnected.changes(3, 0, Detail::Whole, later), later)
+        .unwrap();
     assert_eq!(serving(&roster), ["a@1000"]);
     let settled = later + LEASE;
-    cut.announce(record("a", 1, 1_000, Phase::Serving, 9), settled);
-    assert!(cut.changes(3, 0, Detail::Whole, settled).settled);
+    disconnected.announce(record("a", 1, 1_000, Phase::Serving, 9), settled);
+    assert!(disconnected.changes(3, 0, Detail::Whole, settled).settled);
     verify_roster(&roster).unwrap();
 }
 
 #[test]
-fn an_answer_that_was_under_way_when_another_box_was_believed_stands_for_no_whole_table() {
+fn answer_in_flight_during_a_change_of_authority_does_not_count_as_complete() {
     let now = Instant::now();
     let later = now + LEASE;
     let (mut one, mut two) = (Table::new(1, now), Table::new(2, now));
@@ -320,16 +324,21 @@
     let first = one.changes(1, 0, Detail::Whole, later);
     let have = first.version;
     assert_eq!(take(1, first), 2);
-    // Asked again, the first one has nothing new; before its answer comes, another one is asked.
-    let under_way = one.changes(1, have, Detail::Whole, later);
+    // The second answer of the first box reports no change. Before it arrives, another control box
+    // becomes the authority.
+    let in_flight = one.changes(1, have, Detail::Whole, later);
     assert_eq!(take(2, two.changes(2, 0, Detail::Whole, later)), 2);
-    assert_eq!(take(1, under_way), 2, "it does not tell of all that it has");
-    assert_eq!(roster.position(source(1), Detail::Whole), (1, 0), "which is to be asked for");
+    assert_eq!(take(1, in_flight), 2, "the answer does not cover the whole table");
+    assert_eq!(
+        roster.position(source(1), Detail::Whole),
+        (1, 0),
+        "the whole table has to be requested"
+    );
     verify_roster(&roster).unwrap();
 }
 
 #[test]
-fn packed_records_are_the_same_and_a_third_of_the_size() {
+fn packed_records_round_trip_and_are_much_smaller() {
     let records: Vec<UpstreamRecord> = (0..300)
         .map(|n| UpstreamRecord {
             warm_in: Duration::from_millis(700),
@@ -346,9 +355,9 @@
     assert!(small * 5 < large * 2, "{small} of {large}");
 }
 
-/// A record as boxes of before know it.
+/// The record format of boxes of earlier versions.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct RecordOfBefore {
+struct EarlierRecord {
     id: String,
     service: String,
     addr: SocketAddr,
@@ -360,15 +369,15 @@
 }
 
 #[test]
-fn boxes_of_before_and_of_now_read_each_others_records() {
+fn records_are_compatible_with_earlier_versions() {
     let new = record("a", 1, 1_000, Phase::Serving, 2);
     let bytes = rmp_serde::to_vec_named(&new).unwrap();
-    let read: RecordOfBefore = rmp_serde::from_slice(&bytes).unwrap();
-    assert_eq!(read.id, "a", "the id is what upstreams expect to hear");
+    let read: EarlierRecord = rmp_serde::from_slice(&bytes).unwrap();
+    assert_eq!(read.id, "a", "the record carries the id, not the incarnation name");
     let back: UpstreamRecord =
         rmp_serde::from_slice(&rmp_serde::to_vec_named(&read).unwrap()).unwrap();
     assert_eq!(back, UpstreamRecord { born: None, ..new });
-    // What a box of before asks for is told by field names and ids.
+    // Answers to boxes of earlier versions use field names and ids.
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, 1_000, Phase::Serving, 2), now);
@@ -377,5 +386,9 @@
     table.end_id("b", now);
     let answer = table.changes(1, 0, Detail::Named, now);
     assert_eq!((answer.records.len(), answer.packed), (1, None));
-    assert_eq!(answer.ended, ["b"], "it would take the end of one life of a for that of both");
+    assert_eq!(
+        answer.ended,
+        ["b"],
+        "a still has a current incarnation, so its id must not be reported as ended"
+    );
 }
--- a/crates/hatchpitch/tests/registry.rs
+++ b/crates/hatchpitch/tests/registry.rs
@@ -1,10 +1,10 @@
-//! Upstreams that announce themselves: order, leases, and the union at entry boxes.
+//! Tests announced upstreams: the order of announcements, leases, and the union at entry boxes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use futures_util::FutureExt;
-use hatchpitch::registry::follow::{Followed, first_of};
+use hatchpitch::registry::follow::{Followed, preferred_source};
 use hatchpitch::registry::table::LEASE;
 use hatchpitch::registry::verify::{verify_roster, verify_table};
 use hatchpitch::registry::{
@@ -31,7 +31,7 @@
     ([127, 0, 0, 2], port).into()
 }
 
-/// Takes an answer of a control box that is followed for everything.
+/// Applies the answer of a control box that is followed in full.
 fn take(roster: &mut Roster, source: SocketAddr, answer: FollowAnswer, now: Instant) -> bool {
     roster.take(source, Detail::Whole, answer, now).unwrap()
 }
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_late_announcement_does_not_bring_a_leaver_back() {
+fn delayed_announcement_does_not_revert_leaving() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     assert_eq!(table.announce(record("a", 1, Phase::Serving, 1), now), Announced::News);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_life_that_ended_before_it_was_announced_stays_ended() {
+fn incarnation_that_ended_before_its_announcement_stays_ended() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     assert!(table.end("a", now));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_new_life_at_an_address_ends_the_former_one() {
+fn new_incarnation_at_an_address_ends_the_previous_one() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, Phase::Serving, 1), now);
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn a_late_announcement_of_an_unknown_former_life_ends_nobody() {
+fn delayed_announcement_of_an_unknown_earlier_incarnation_ends_no_other() {
     let now = Instant::now();
-    // A control box that restarted has not heard of the life before.
+    // After a restart, the control box does not know the earlier incarnation.
     let mut table = Table::new(1, now);
     table.announce(record("new", 1, Phase::Serving, 5), now);
     let late = now + Duration::from_millis(1_000);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_living_one_takes_its_address_back_from_a_former_life_that_came_first() {
+fn live_upstream_takes_its_address_back_from_an_earlier_incarnation() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("old", 1, Phase::Serving, 9), now);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_entry_box_keeps_the_living_one_whichever_life_it_hears_of_last() {
+fn entry_box_keeps_the_live_incarnation_in_any_order_of_answers() {
     let now = Instant::now();
     let (mut one, mut two) = (Table::new(1, now), Table::new(2, now));
     one.announce(record("new", 1, Phase::Serving, 5), now);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_lease_that_ran_out_begins_anew_with_the_next_announcement() {
+fn expired_lease_restarts_with_the_next_announcement() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, Phase::Serving, 1), now);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_follower_hears_what_changed_and_after_a_restart_everything() {
+fn follower_receives_changes_and_the_whole_table_after_a_restart() {
     let now = Instant::now();
     let mut table = Table::new(7, now);
     table.announce(record("a", 1, Phase::Serving, 1), now);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn an_entry_box_keeps_what_any_control_box_names() {
+fn entry_box_keeps_upstreams_reported_by_any_control_box() {
     let now = Instant::now();
     let (mut one, mut two) = (Table::new(1, now), Table::new(2, now));
     let mut roster = Roster::default();
@@ -157,7 +157,7 @@
     assert!(take(&mut roster, source(1), one.changes(0, 0, Detail::Whole, now), now));
     assert!(take(&mut roster, source(2), two.changes(0, 0, Detail::Whole, now), now));
     assert_eq!(ids(&roster), ["a", "b"]);
-    // The first box loses the lease; the second still hears announcements.
+    // The lease expires at the first box; the second one still receives announcements.
     one.expire(now + LEASE);
     take(&mut roster, source(1), one.changes(1, 1, Detail::Whole, now), now);
     assert_eq!(ids(&roster), ["a", "b"]);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn leaving_holds_although_another_control_box_is_behind() {
+fn leaving_holds_although_another_control_box_is_outdated() {
     let now = Instant::now();
     let (mut one, mut two) = (Table::new(1, now), Table::new(2, now));
     let mut roster = Roster::default();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn what_only_a_former_life_of_a_control_box_named_is_dropped_once_the_new_one_knows_all() {
+fn upstream_known_only_to_a_previous_epoch_is_dropped_once_the_new_table_is_complete() {
     let now = Instant::now();
     let mut table = Table::new(1, now);
     table.announce(record("a", 1, Phase::Serving, 1), now);
@@ -194,13 +194,13 @@
     take(&mut roster, source(1), table.changes(0, 0, Detail::Whole, now), now);
     let restarted = Table::new(2, now);
     take(&mut roster, source(1), restarted.changes(1, 1, Detail::Whole, now), now);
-    assert_eq!(ids(&roster), ["a"], "the new life may not have heard of it yet");
+    assert_eq!(ids(&roster), ["a"], "the table of the new epoch may be incomplete");
     take(&mut roster, source(1), restarted.changes(2, 0, Detail::Whole, now + LEASE), now + LEASE);
     assert_eq!(ids(&roster), Vec::<&str>::new());
 }
 
 #[test]
-fn renewals_hold_what_was_announced_here_since_the_last_ones() {
+fn renewals_contain_upstreams_announced_here_since_the_last_ones() {
     let now = Instant::now();
     let (mut here, mut there) = (Table::new(1, now), Table::new(2, now));
     here.announce_here(record("a", 1, Phase::Serving, 1), now);
@@ -210,7 +210,7 @@
     let named: Vec<&str> = renewals.records.iter().map(|record| record.id.as_str()).collect();
     assert_eq!((named, renewals.ended.len()), (vec!["a"], 1));
     assert!(here.take_renewals(now).records.is_empty());
-    // Each heartbeat renews the lease at the other box as well.
+    // Each heartbeat also renews the lease at the other box.
     for beat in 2..12 {
         let at = now + LEASE / 4 * beat;
         here.announce_here(record("a", 1, Phase::Serving, u64::from(beat)), at);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn an_entry_box_follows_some_of_many_control_boxes_and_others_follow_others() {
+fn entry_boxes_follow_different_subsets_of_the_control_boxes() {
     let control: Vec<SocketAddr> = (1..=22).map(source).collect();
     let followed = Followed::new(&control);
     let chosen = followed.candidates("box-1");
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn tables_and_rosters_stay_sound_whatever_arrives() {
+fn tables_and_rosters_keep_their_invariants_under_random_events() {
     for seed in 0..50_u64 {
         arbtest::arbtest(|u| {
             let start = Instant::now();
@@ -277,15 +277,15 @@
     }
 }
 
-/// Upstreams of a large table, some 1 MB as it is sent.
+/// Number of upstreams in a large table, which is about 1 MB in encoded form.
 const UPSTREAMS: u16 = 4_600;
-/// Boxes that begin to follow it at one time.
+/// Number of boxes that start following it at the same time.
 const FOLLOWERS: usize = 60;
-/// Bytes that may wait for them: one mebibyte and the last table.
+/// Maximum number of bytes in the send backlog: 1 MiB and the last table.
 const MAX_WAITING: usize = 3 * 1024 * 1024;
 
 #[test]
-fn what_waits_for_boxes_that_begin_to_follow_is_bounded() {
+fn backlog_for_new_followers_is_bounded() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let key = SigningKey::new("k".into(), vec![3; 32]).unwrap();
@@ -308,39 +308,39 @@
         };
         let in_force = hatchpitch::config::feed::InForce::default;
         let has_room = || client.backlog().has_room();
-        // None of them is sent while the others are made.
+        // All answers are built before any of them is sent.
         let held: Vec<_> = (0..FOLLOWERS)
             .filter_map(|_| cell.answer(&req, in_force, has_room).now_or_never())
             .map(|answer| client.respond(&answer.expect("there is room")))
             .collect();
         let waiting = client.backlog().waiting();
         assert!(waiting.bytes <= MAX_WAITING, "{waiting:?}");
-        // Those that had to wait get theirs once the others have gone.
+        // Followers that had to wait are answered once the other answers are gone.
         drop(held);
-        let (mut told, mut more) = (0, true);
+        let (mut received, mut more) = (0, true);
         while more {
             let answer = cell.answer(&req, in_force, has_room).await.unwrap();
             (req.epoch, req.have, more) = (answer.epoch, answer.version, answer.more);
-            told += answer.records.len();
-            assert_eq!(answer.more, told < usize::from(UPSTREAMS));
+            received += answer.records.len();
+            assert_eq!(answer.more, received < usize::from(UPSTREAMS));
         }
-        assert_eq!(told, usize::from(UPSTREAMS));
+        assert_eq!(received, usize::from(UPSTREAMS));
     });
 }
 
 #[test]
-fn entry_boxes_spread_over_the_control_boxes_that_they_follow_closely() {
+fn entry_boxes_spread_over_the_control_boxes_that_they_follow_in_full() {
     let control = || (1..=5).map(source);
     let mut followers = [0_u32; 6];
     for i in 0..300 {
         let own = format!("entry-{i}");
-        let first = first_of(&own, control()).unwrap();
+        let first = preferred_source(&own, control()).unwrap();
         followers[usize::from(first.port())] += 1;
-        // Without it, another one takes its place; without another one, it stays.
+        // Removing the preferred box selects another one; removing another box changes nothing.
         let rest: Vec<SocketAddr> = control().filter(|addr| *addr != first).collect();
-        assert_ne!(first_of(&own, rest.iter().copied()), Some(first));
-        assert_eq!(first_of(&own, control().filter(|addr| *addr != rest[0])), Some(first));
+        assert_ne!(preferred_source(&own, rest.iter().copied()), Some(first));
+        assert_eq!(preferred_source(&own, control().filter(|addr| *addr != rest[0])), Some(first));
     }
     assert!(followers[1..].iter().all(|count| (35..90).contains(count)), "{followers:?}");
-    assert_eq!(first_of("entry", std::iter::empty()), None);
+    assert_eq!(preferred_source("entry", std::iter::empty()), None);
 }
--- a/crates/hatchpitch/tests/suspension.rs
+++ b/crates/hatchpitch/tests/suspension.rs
@@ -1,5 +1,5 @@
-//! Leases and confirmations on a box that was suspended: a clock that stands still meanwhile would
-//! make them hold on.
+//! Tests that leases and confirmations expire on a box that was suspended. With a clock that stops
+//! during suspension, they would still count as valid afterwards.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -17,13 +17,13 @@
     stop_pair,
 };
 
-/// How long the machine is suspended: longer than anything holds.
+/// Duration of the suspension, which exceeds every lease and confirmation.
 const SUSPENSION: Duration = Duration::from_secs(10);
-/// Time in which anything that a test waits for must happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time to wait for an expected event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Tests of one process share its clock.
-fn alone() -> MutexGuard<'static, ()> {
+/// Serializes the tests, which share the clock of the process.
+fn lock_clock() -> MutexGuard<'static, ()> {
     static CLOCK: Mutex<()> = Mutex::new(());
     CLOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn a_confirmation_is_as_old_as_the_suspension_after_it() {
-    let _alone = alone();
+fn confirmation_age_includes_the_suspension() {
+    let _guard = lock_clock();
     let cell = ConfigCell::default();
     cell.confirm(clock::now());
     clock::skip(SUSPENSION);
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn an_answer_that_waited_for_a_box_to_wake_confirms_nothing_of_late() {
-    let _alone = alone();
+fn answer_received_after_a_suspension_counts_from_before_it() {
+    let _guard = lock_clock();
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let (_stop_handle, stop) = stop_pair();
@@ -65,7 +65,7 @@
                     unpacks: true,
                 };
                 let answer = parent.answer(&req).await;
-                // The asker is suspended once the answer is on its way.
+                // The requesting box is suspended while the answer is in flight.
                 clock::skip(SUSPENSION);
                 rmp_response(&answer)
             }
@@ -74,12 +74,12 @@
         compio::runtime::spawn(serve(listener, ServerLimits::default(), handler, stop)).detach();
         let cell = ConfigCell::default();
         feed::fetch(&"box".to_owned(), &cell, &client(), addr, Duration::ZERO).await;
-        let age = cell.confirmed_age().expect("an old confirmation is one");
+        let age = cell.confirmed_age().expect("the answer confirms the configuration");
         assert!(age >= SUSPENSION, "{age:?}");
     });
 }
 
-/// Starts a log of one replica, which elects itself.
+/// Starts a replicated log with a single voter, which elects itself.
 fn start_log(folder: &Path, stop: hatchpitch_net::Stop) -> task::ReplicaHandle {
     let disk = Disk::folder(folder).unwrap();
     let addr = "127.0.0.1:1".parse().unwrap();
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn a_leader_that_wakes_holds_no_lease_of_before() {
-    let _alone = alone();
+fn leader_holds_no_lease_after_a_suspension() {
+    let _guard = lock_clock();
     let folder = tempfile::tempdir().unwrap();
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
@@ -105,20 +105,23 @@
         let log = start_log(folder.path(), stop);
         let started = std::time::Instant::now();
         while !log.holds_lease() {
-            assert!(started.elapsed() < PATIENCE, "nobody leads");
+            assert!(started.elapsed() < EVENT_TIMEOUT, "no leader was elected");
             compio::time::sleep(Duration::from_millis(5)).await;
         }
         clock::skip(SUSPENSION);
-        assert!(!log.holds_lease(), "others may lead by now");
-        // Once it has asked who leads, it leads again.
+        assert!(!log.holds_lease(), "another replica may lead after the suspension");
+        // The replica is elected again after it has asked the other voters.
         while !log.holds_lease() {
-            assert!(started.elapsed() < PATIENCE, "nobody leads any more");
+            assert!(
+                started.elapsed() < EVENT_TIMEOUT,
+                "no leader was elected after the suspension"
+            );
             compio::time::sleep(Duration::from_millis(5)).await;
         }
     });
 }
 
-/// Returns the lines of the Rust files of a folder that hold one of `words`.
+/// Returns the lines in the Rust files below `folder` that contain one of `words`.
 fn lines_with(folder: &Path, words: &[&str]) -> Vec<String> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -135,13 +138,13 @@
 }
 
 #[test]
-fn no_daemon_reads_the_clock_that_misses_suspensions() {
+fn daemons_do_not_read_the_clock_that_stops_during_suspension() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let folders = ["net/src", "hatchpitch/src", "entry/src", "control/src", "../platform/src"];
     let reads =
         folders.map(|folder| lines_with(&crates.join(folder), &["Instant::now", ".elapsed("]));
     let reads: Vec<String> = reads.into_iter().flatten().collect();
-    // The clock itself reads it once, for the instant that it counts from.
+    // The clock module reads it once, as the origin of its own instants.
     assert_eq!(reads.len(), 1, "{reads:#?}");
     assert!(reads[0].contains("net/src/clock.rs"), "{reads:?}");
 }
