--- a/crates/hatchpitch/src/control/boxes.rs
+++ b/crates/hatchpitch/src/control/boxes.rs
@@ -101,7 +101,7 @@
             NEWS_PATH => {
                 let news = self.open::<RegistryNews>()?;
                 let newcomer = self.cx.note_control(&news);
-                self.cx.registry.take(news);
+                self.cx.registry.apply_news(news);
                 if let Some(peer) = newcomer {
                     registrations::introduce(self.cx, peer);
                 }
--- a/crates/hatchpitch/src/entry/context.rs
+++ b/crates/hatchpitch/src/entry/context.rs
@@ -28,7 +28,7 @@
 use crate::outcome::Problem;
 use crate::quarantine::Observer;
 use crate::registry::Phase;
-use crate::registry::follow::Followed;
+use crate::registry::follow::FollowState;
 use crate::routing::state::RunnerSpec;
 use crate::routing::{ColdLimit, RoutingConfig};
 use crate::settings::EntrySettings;
@@ -101,7 +101,7 @@
     /// Gates over all engines, for when no owner is in reach.
     fallback: RefCell<HashMap<PoolName, Gate>>,
     /// Upstreams that announce themselves, and the control boxes that tell of them.
-    pub upstreams: Rc<Followed>,
+    pub upstreams: Rc<FollowState>,
     /// Highest configuration number that a control box was seen to have and that is being
     /// fetched.
     pub config_seen: Cell<ConfigNumber>,
@@ -125,7 +125,7 @@
         membership: SharedMembership,
         boxes: BoxClient,
     ) -> Rc<Self> {
-        let upstreams = Followed::new(&settings.control);
+        let upstreams = FollowState::new(&settings.control);
         let control = upstreams.clone();
         let leader = LeaderClient::new(boxes.clone(), move || control.control());
         Rc::new(Self {
--- a/crates/hatchpitch/src/entry/daemon.rs
+++ b/crates/hatchpitch/src/entry/daemon.rs
@@ -21,7 +21,7 @@
 use crate::membership::messages::{MemberRecord, MemberStatus, Subject};
 use crate::membership::state::{Membership, MembershipConfig};
 use crate::membership::task;
-use crate::registry::follow::{self, OrderHints};
+use crate::registry::follow::{self, FollowCallbacks};
 use crate::routing::task as routing;
 use crate::settings::EntrySettings;
 use crate::signals;
@@ -127,7 +127,7 @@
     let (numbered, fetching) = (cx.clone(), cx.clone());
     let (at_revision, evacuating) = (cx.clone(), cx.clone());
     let (listed, listing) = (cx.clone(), cx.clone());
-    let hints = OrderHints {
+    let callbacks = FollowCallbacks {
         number: Rc::new(move || numbered.config.number().max(numbered.config_seen.get())),
         newer_at: Rc::new(move |source, number| fetch_config(&fetching, source, number)),
         evacuations: Rc::new(move || at_revision.config.evacuations().revision()),
@@ -140,7 +140,7 @@
         }),
     };
     let name = cx.settings.name.clone();
-    let upstreams = follow::run(name, followed, cx.boxes.clone(), hints, stop.clone());
+    let upstreams = follow::run(name, followed, cx.boxes.clone(), callbacks, stop.clone());
     spawn_essential("upstreams", upstreams);
     spawn_essential("pressure", backlog_monitor::run(cx.boxes.clone(), stop.clone()));
     spawn_essential("configuration", follow_config(cx.clone(), stop.clone()));
--- a/crates/hatchpitch/src/registry/follow.rs
+++ b/crates/hatchpitch/src/registry/follow.rs
@@ -45,7 +45,7 @@
 const MAX_FAILURES: u32 = 50;
 
 /// State shared by the follower tasks of one entry process.
-pub struct Followed {
+pub struct FollowState {
     /// The known upstreams.
     pub roster: RefCell<Roster>,
     /// Addresses of control boxes, from the settings and from answers of control boxes.
@@ -57,7 +57,7 @@
     unhealthy: RefCell<BTreeSet<SocketAddr>>,
 }
 
-impl Followed {
+impl FollowState {
     /// Creates the state with the control boxes from the settings.
     pub fn new(control: &[SocketAddr]) -> Rc<Self> {
         let control: BTreeSet<SocketAddr> = control.iter().copied().collect();
@@ -138,7 +138,7 @@
 
 /// Callbacks for the orders that follow answers carry in addition to upstreams.
 #[derive(Clone)]
-pub struct OrderHints {
+pub struct FollowCallbacks {
     /// Returns the greatest configuration number that is in force or being fetched.
     pub number: Rc<dyn Fn() -> ConfigNumber>,
     /// Called with the address of a control box that has a newer configuration, and its number.
@@ -156,16 +156,16 @@
 /// Keeps up to two healthy control boxes followed until `stop` is set.
 pub async fn run(
     own: BoxName,
-    followed: Rc<Followed>,
+    followed: Rc<FollowState>,
     client: BoxClient,
-    hints: OrderHints,
+    callbacks: FollowCallbacks,
     stop: Stop,
 ) {
     while !stop.is_set() {
         for source in followed.candidates(&own) {
             if followed.running.borrow_mut().insert(source) {
                 let (own, followed, client) = (own.clone(), followed.clone(), client.clone());
-                let task = follow(own, source, followed, client, hints.clone(), stop.clone());
+                let task = follow(own, source, followed, client, callbacks.clone(), stop.clone());
                 compio::runtime::spawn(task).detach();
             }
         }
@@ -177,9 +177,9 @@
 async fn follow(
     own: BoxName,
     source: SocketAddr,
-    followed: Rc<Followed>,
+    followed: Rc<FollowState>,
     client: BoxClient,
-    hints: OrderHints,
+    callbacks: FollowCallbacks,
     stop: Stop,
 ) {
     let mut failures = 0;
@@ -191,11 +191,11 @@
             from: own.clone(),
             epoch,
             have,
-            config: (hints.number)(),
+            config: (callbacks.number)(),
             hold: POLL_HOLD,
             detail,
-            evacuations: (hints.evacuations)(),
-            quarantine: (hints.quarantine)(),
+            evacuations: (callbacks.evacuations)(),
+            quarantine: (callbacks.quarantine)(),
         };
         let call =
             client.call::<_, FollowAnswer>(source, FOLLOW_PATH, &req, POLL_HOLD + ANSWER_MARGIN);
@@ -203,13 +203,13 @@
             Ok(answer) => {
                 failures = 0;
                 let more = answer.more;
-                apply_answer(&followed, source, detail, answer, &hints);
+                apply_answer(&followed, source, detail, answer, &callbacks);
                 let pause = match followed.detail(&own, source) {
                     _ if more => Duration::ZERO,
                     Detail::Departures => DEPARTURES_POLL_PAUSE,
                     Detail::Named | Detail::Whole => {
                         let known = followed.roster.borrow().len();
-                        question_period(known).saturating_sub(clock::since(asked_at))
+                        poll_interval(known).saturating_sub(clock::since(asked_at))
                     }
                 };
                 compio::time::sleep(pause).await;
@@ -231,7 +231,7 @@
 }
 
 /// Returns the minimum interval between two full polls for a number of upstreams.
-pub fn question_period(upstreams: usize) -> Duration {
+pub fn poll_interval(upstreams: usize) -> Duration {
     let count = u32::try_from(upstreams).unwrap_or(u32::MAX);
     POLL_INTERVAL_PER_UPSTREAM
         .saturating_mul(count)
@@ -240,26 +240,26 @@
 
 /// Applies the answer of a followed control box.
 fn apply_answer(
-    followed: &Followed,
+    followed: &FollowState,
     source: SocketAddr,
     requested: Detail,
     answer: FollowAnswer,
-    hints: &OrderHints,
+    callbacks: &FollowCallbacks,
 ) {
     followed.set_unhealthy(source, answer.out_of_touch);
     followed.control.borrow_mut().extend(&answer.control);
-    if answer.config > (hints.number)() {
-        (hints.newer_at)(source, answer.config);
+    if answer.config > (callbacks.number)() {
+        (callbacks.newer_at)(source, answer.config);
     }
     if let Some(evacuations) = &answer.evacuations {
-        (hints.evacuated)(evacuations);
+        (callbacks.evacuated)(evacuations);
     }
     if let Some(list) = &answer.quarantine {
-        (hints.quarantined)(list);
+        (callbacks.quarantined)(list);
     }
     let (epoch, version) = (answer.epoch, answer.version);
     let mut roster = followed.roster.borrow_mut();
-    match roster.take(source, requested, answer, clock::now()) {
+    match roster.apply_answer(source, requested, answer, clock::now()) {
         Ok(true) => {
             let (serving, leaving) = (roster.serving().count(), roster.leaving().count());
             log::info!(
--- a/crates/hatchpitch/src/registry/roster.rs
+++ b/crates/hatchpitch/src/registry/roster.rs
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Returns the decoder's error if the records do not decode; the roster is unchanged then.
-    pub fn take(
+    pub fn apply_answer(
         &mut self,
         source: SocketAddr,
         requested: Detail,
--- a/crates/hatchpitch/src/registry/table.rs
+++ b/crates/hatchpitch/src/registry/table.rs
@@ -501,7 +501,7 @@
     }
 
     /// Applies the changes that another control box sent.
-    pub fn take(&self, mut news: RegistryNews) {
+    pub fn apply_news(&self, mut news: RegistryNews) {
         let now = clock::now();
         if let Err(err) = news.unpack() {
             log::warn!("failed to decode upstream records of another control box: {err}");
--- a/crates/hatchpitch/tests/fleet_size.rs
+++ b/crates/hatchpitch/tests/fleet_size.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use hatchpitch::registry::follow::question_period;
+use hatchpitch::registry::follow::poll_interval;
 use hatchpitch::registry::{Detail, Phase, Roster, Table, UpstreamRecord};
 
 const UPSTREAMS: usize = 3_000;
@@ -65,7 +65,7 @@
         let (epoch, have) = follower.roster.position(source, follower.detail);
         let answer = table.changes(epoch, have, follower.detail, now);
         let (more, bytes) = (answer.more, rmp_serde::to_vec_named(&answer).unwrap().len() + HEADS);
-        follower.roster.take(source, follower.detail, answer, now).unwrap();
+        follower.roster.apply_answer(source, follower.detail, answer, now).unwrap();
         (more, bytes)
     };
     for (follower, _) in &mut kinds {
@@ -98,7 +98,7 @@
 #[test]
 fn a_control_box_tells_300_boxes_of_3000_upstreams_within_its_link() {
     let each = FOLLOWERS / CONTROL;
-    let rate = usize::try_from(1_000 / question_period(UPSTREAMS).as_millis()).unwrap();
+    let rate = usize::try_from(1_000 / poll_interval(UPSTREAMS).as_millis()).unwrap();
     // Everything from one control box, departures from another one once a second.
     let followers = [(Detail::Whole, rate, each), (Detail::Departures, 1, each)];
     let (bytes, parts) = bytes_a_second(&followers);
--- a/crates/hatchpitch/tests/lives.rs
+++ b/crates/hatchpitch/tests/lives.rs
@@ -124,11 +124,11 @@
     let cell = RegistryCell::new(1);
     let now = Instant::now();
     cell.change(|table| table.announce(record("a", 1, 1_000, Phase::Serving, 4), now));
-    cell.take(RegistryNews::of_ends(vec!["a".to_owned()]));
+    cell.apply_news(RegistryNews::of_ends(vec!["a".to_owned()]));
     assert_eq!(cell.with(alive), Vec::<String>::new());
     cell.change(|table| table.announce(record("a", 1, 2_000, Phase::Serving, 1), now));
     // The end of the previous incarnation is repeated for some time.
-    cell.take(RegistryNews::of_ends(vec!["a@1000".to_owned()]));
+    cell.apply_news(RegistryNews::of_ends(vec!["a@1000".to_owned()]));
     assert_eq!(cell.with(alive), ["a@2000"]);
 }
 
@@ -143,7 +143,7 @@
         for at in order {
             let (table, epoch) = if at == 1 { (&one, 1) } else { (&two, 2) };
             let answer = table.changes(epoch, 0, Detail::Whole, now);
-            roster.take(source(at), Detail::Whole, answer, now).unwrap();
+            roster.apply_answer(source(at), Detail::Whole, answer, now).unwrap();
             verify_roster(&roster).unwrap();
         }
         assert_eq!(serving(&roster), ["a@2000"]);
@@ -162,11 +162,11 @@
     assert!(departures().packed.is_none() && departures().records.is_empty());
     let whole = || outdated.changes(1, 0, Detail::Whole, now);
     let mut first = Roster::default();
-    first.take(source(1), Detail::Whole, whole(), now).unwrap();
-    first.take(source(2), Detail::Departures, departures(), now).unwrap();
+    first.apply_answer(source(1), Detail::Whole, whole(), now).unwrap();
+    first.apply_answer(source(2), Detail::Departures, departures(), now).unwrap();
     let mut last = Roster::default();
-    last.take(source(2), Detail::Departures, departures(), now).unwrap();
-    last.take(source(1), Detail::Whole, whole(), now).unwrap();
+    last.apply_answer(source(2), Detail::Departures, departures(), now).unwrap();
+    last.apply_answer(source(1), Detail::Whole, whole(), now).unwrap();
     for roster in [first, last] {
         assert_eq!(serving(&roster), Vec::<String>::new());
         assert_eq!(roster.leaving().count(), 1);
@@ -181,12 +181,12 @@
     let mut roster = Roster::default();
     let first = table.changes(1, 0, Detail::Whole, now);
     let have = first.version;
-    roster.take(source(1), Detail::Whole, first, now).unwrap();
+    roster.apply_answer(source(1), Detail::Whole, first, now).unwrap();
     table.announce(record("a", 1, 1_000, Phase::Leaving, 3), now);
     let answer = table.changes(1, have, Detail::Whole, now);
     assert_eq!(answer.leaving, ["a@1000"]);
     assert!(answer.packed.as_ref().unwrap().records().unwrap().is_empty());
-    roster.take(source(1), Detail::Whole, answer, now).unwrap();
+    roster.apply_answer(source(1), Detail::Whole, answer, now).unwrap();
     assert_eq!((roster.serving().count(), roster.leaving().count()), (0, 1));
     // A follower without the record receives all of it.
     let all = table.changes(1, 0, Detail::Whole, now);
@@ -248,7 +248,7 @@
         let (known, have) = roster.position(source(at), Detail::Whole);
         let have = if known == epoch { have } else { 0 };
         let answer = table.changes(epoch, have, Detail::Whole, now);
-        roster.take(source(at), Detail::Whole, answer, now).unwrap();
+        roster.apply_answer(source(at), Detail::Whole, answer, now).unwrap();
     };
     take(&mut roster, 1, &one, 1, now);
     two.announce(record("a", 1, 1_000, Phase::Serving, 3), now);
@@ -281,7 +281,7 @@
         other.announce(record(id, u16::from(id == "b") + 1, 1_000, Phase::Serving, 8), later);
     }
     roster
-        .take(source(2), Detail::Whole, other.changes(2, 0, Detail::Whole, later), later)
+        .apply_answer(source(2), Detail::Whole, other.changes(2, 0, Detail::Whole, later), later)
         .unwrap();
     // The first box stalled for longer than a lease and is then followed in full again.
     stalled.on_stall(later);
@@ -289,7 +289,7 @@
     stalled.end_id("b", later);
     let answer = stalled.changes(1, 0, Detail::Whole, later);
     assert!(!answer.settled);
-    roster.take(source(1), Detail::Whole, answer, later).unwrap();
+    roster.apply_answer(source(1), Detail::Whole, answer, later).unwrap();
     assert_eq!(serving(&roster), ["a@1000"]);
     // A disconnected box has expired leases. Its table counts as complete one lease after it
     // reconnects.
@@ -298,7 +298,12 @@
     disconnected.on_disconnected(later);
     assert_eq!(disconnected.expire(later), ["a@1000"]);
     roster
-        .take(source(3), Detail::Whole, disconnected.changes(3, 0, Detail::Whole, later), later)
+        .apply_answer(
+            source(3),
+            Detail::Whole,
+            disconnected.changes(3, 0, Detail::Whole, later),
+            later,
+        )
         .unwrap();
     assert_eq!(serving(&roster), ["a@1000"]);
     let settled = later + LEASE;
@@ -318,7 +323,7 @@
     }
     let mut roster = Roster::default();
     let mut take = |at: u16, answer| {
-        roster.take(source(at), Detail::Whole, answer, later).unwrap();
+        roster.apply_answer(source(at), Detail::Whole, answer, later).unwrap();
         serving(&roster).len()
     };
     let first = one.changes(1, 0, Detail::Whole, later);
--- a/crates/hatchpitch/tests/registry.rs
+++ b/crates/hatchpitch/tests/registry.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::FutureExt;
-use hatchpitch::registry::follow::{Followed, preferred_source};
+use hatchpitch::registry::follow::{FollowState, preferred_source};
 use hatchpitch::registry::table::LEASE;
 use hatchpitch::registry::verify::{verify_roster, verify_table};
 use hatchpitch::registry::{
@@ -33,7 +33,7 @@
 
 /// Applies the answer of a control box that is followed in full.
 fn take(roster: &mut Roster, source: SocketAddr, answer: FollowAnswer, now: Instant) -> bool {
-    roster.take(source, Detail::Whole, answer, now).unwrap()
+    roster.apply_answer(source, Detail::Whole, answer, now).unwrap()
 }
 
 fn ids(roster: &Roster) -> Vec<&str> {
@@ -226,12 +226,12 @@
 #[test]
 fn entry_boxes_follow_different_subsets_of_the_control_boxes() {
     let control: Vec<SocketAddr> = (1..=22).map(source).collect();
-    let followed = Followed::new(&control);
+    let followed = FollowState::new(&control);
     let chosen = followed.candidates("box-1");
     assert_eq!(chosen.len(), 2);
     assert_eq!(followed.candidates("box-1"), chosen);
     assert_ne!(followed.candidates("box-2"), chosen);
-    assert_eq!(Followed::new(&control[..1]).candidates("box-1").len(), 1);
+    assert_eq!(FollowState::new(&control[..1]).candidates("box-1").len(), 1);
 }
 
 #[test]
@@ -264,7 +264,7 @@
                         let detail = *u.choose(&details)?;
                         let (epoch, have) = roster.position(source, detail);
                         let answer = tables[at].changes(epoch, have, detail, now);
-                        roster.take(source, detail, answer, now).unwrap();
+                        roster.apply_answer(source, detail, answer, now).unwrap();
                     }
                 }
                 verify_table(&tables[at]).unwrap();
--- a/crates/hatchpitch/tests/upstream_heads.rs
+++ b/crates/hatchpitch/tests/upstream_heads.rs
@@ -304,19 +304,19 @@
         }],
         ..FollowAnswer::default()
     };
-    roster.take(source, Detail::Whole, announced(1, 1), now).unwrap();
+    roster.apply_answer(source, Detail::Whole, announced(1, 1), now).unwrap();
     assert_eq!(roster.serving().count(), 1);
     let before = roster.version();
     roster.said_leaving("i-1");
     assert!(roster.version() > before);
     assert_eq!((roster.serving().count(), roster.leaving().count()), (0, 1));
     // It goes on to announce itself, and is forgotten and named again.
-    roster.take(source, Detail::Whole, announced(9, 2), now).unwrap();
+    roster.apply_answer(source, Detail::Whole, announced(9, 2), now).unwrap();
     assert_eq!(roster.serving().count(), 0);
     let lapsed =
         FollowAnswer { lapsed: vec!["i-1".to_owned()], records: Vec::new(), ..announced(9, 3) };
-    roster.take(source, Detail::Whole, lapsed, now).unwrap();
-    roster.take(source, Detail::Whole, announced(10, 4), now).unwrap();
+    roster.apply_answer(source, Detail::Whole, lapsed, now).unwrap();
+    roster.apply_answer(source, Detail::Whole, announced(10, 4), now).unwrap();
     assert_eq!((roster.serving().count(), roster.leaving().count()), (0, 1));
     verify_roster(&roster).unwrap();
 }
