--- a/crates/hatchpitch/src/commands/mod.rs
+++ b/crates/hatchpitch/src/commands/mod.rs
@@ -1,12 +1,13 @@
-//! Orders to engines: which model and version each holds, under a fence.
+//! Commands to engines that set which model and version each one loads.
 //!
-//! Engines that check the fence `(term, sequence)` reject an old leader's order
-//! themselves. For those that do not, a leader sends only well inside its
-//! lease, one order at a time with a deadline, and a new leader waits out lease
-//! and deadline before its first one.
+//! Each command carries the fencing token `(term, sequence)`. An engine that
+//! checks it rejects commands of an earlier leader. For an engine that does
+//! not, a leader sends only while a command's deadline falls within its lease,
+//! one command at a time, and a new leader sends none until the longest
+//! earlier lease and the deadline have passed.
 
 pub mod state;
 pub mod task;
 pub mod verify;
 
-pub use state::{CommandAction, CommandConfig, Commands, SendOutcome, Target};
+pub use state::{CommandAction, CommandConfig, CommandScheduler, SendOutcome, Target};
--- a/crates/hatchpitch/src/commands/state.rs
+++ b/crates/hatchpitch/src/commands/state.rs
@@ -1,11 +1,11 @@
-//! Which orders are due, without I/O.
+//! Decides which commands are due, without I/O.
 //!
 //! Invariants, checked by [`super::verify`]:
-//! - at most one order to an engine is on its way;
-//! - fences only grow;
-//! - an order is sent only if it must have arrived before the lease ends;
-//! - an engine that does not check gets no order before every order of an
-//!   earlier leader must have arrived or been lost.
+//! - at most one command per engine is in flight;
+//! - fencing tokens strictly increase;
+//! - a command is sent only if its deadline falls within the lease;
+//! - an engine that does not check the fence gets no command until every
+//!   command of an earlier leader must have arrived or been lost.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,19 +14,20 @@
 use crate::engine::messages::{EngineCommand, EngineHoldings, EngineOrder};
 use crate::ids::{Priority, RunnerName};
 
-/// Periods and bounds.
+/// Timing and limits of a [`CommandScheduler`].
 #[derive(Debug, Clone, Copy)]
 pub struct CommandConfig {
-    /// Time in which an order arrives or its connection is closed.
+    /// Time within which a command arrives; its connection is closed afterwards.
     pub deadline: Duration,
-    /// Time kept between the deadline of an order and the end of the lease.
+    /// Minimum time between the deadline of a command and the end of the lease.
     pub margin: Duration,
-    /// Longest lease of an earlier leader.
+    /// Longest lease that an earlier leader may hold.
     pub lease: Duration,
-    /// Orders that load weights at once: the weight store's rate is shared.
-    pub max_loads: usize,
-    /// Time between two looks at an engine that does not answer.
-    pub retry: Duration,
+    /// Maximum number of concurrent load commands: they share the bandwidth of the weight store.
+    pub max_concurrent_loads: usize,
+    /// Time before the holdings of an engine are read again after a failed read or a rejected
+    /// command.
+    pub retry_interval: Duration,
 }
 
 impl Default for CommandConfig {
@@ -35,119 +36,122 @@
             deadline: Duration::from_millis(250),
             margin: Duration::from_millis(50),
             lease: Duration::from_millis(600),
-            max_loads: 2,
-            retry: Duration::from_millis(500),
+            max_concurrent_loads: 2,
+            retry_interval: Duration::from_millis(500),
         }
     }
 }
 
-/// What an engine is to hold.
+/// The desired state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub addr: SocketAddr,
-    /// Whether it checks the fence.
+    /// Whether the engine rejects commands with an outdated fencing token.
     pub checks_fence: bool,
-    /// The model.
+    /// Model to load.
     pub model: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
-    /// Highest priority paid for the pool; higher ones load first.
+    /// Highest priority among the workspaces that use the pool; higher priorities load first.
     pub priority: Priority,
 }
 
-/// What the driver has to do.
+/// I/O that the caller of [`CommandScheduler::tick`] performs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandAction {
-    /// Read what an engine holds, and report it with [`Commands::on_holdings`].
+    /// Read the holdings of an engine and report them with [`CommandScheduler::on_holdings`].
     Read {
-        /// The engine.
+        /// Name of the engine.
         runner: RunnerName,
-        /// Where it listens.
+        /// Address on which the engine listens.
         addr: SocketAddr,
     },
-    /// Send an order whose connection is closed at the deadline, and report with [`Commands::on_sent`].
+    /// Send a command, close its connection at the deadline, and report the outcome with
+    /// [`CommandScheduler::on_sent`].
     Send {
-        /// The engine.
+        /// Name of the engine.
         runner: RunnerName,
-        /// Where it listens.
+        /// Address on which the engine listens.
         addr: SocketAddr,
-        /// The order.
+        /// Command to send.
         command: EngineCommand,
     },
 }
 
-/// What became of an order.
+/// Outcome of sending a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The engine carried it out.
+    /// The engine executed the command.
     Done(EngineHoldings),
-    /// The engine has seen a newer fence.
+    /// The engine rejected the command because it has seen a newer fencing token.
     Fenced,
-    /// It may have been carried out.
+    /// The command may or may not have been executed.
     Unknown,
 }
 
+/// Last observed state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Knowledge {
-    /// Nothing is known; look not before this.
-    Unknown { look_at: Instant },
-    /// A look is on its way.
+pub(super) enum Observed {
+    /// The state is unknown; it is read at `read_at` at the earliest.
+    Unknown { read_at: Instant },
+    /// A read is in flight.
     Reading,
-    /// It holds this.
+    /// The engine reported this model and version.
     Holds { model: String, version: String },
-    /// An order is on its way.
-    Ordered { until: Instant },
+    /// A command is in flight until its deadline.
+    CommandSent { deadline: Instant },
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct EngineState {
     pub(super) target: Target,
-    pub(super) knowledge: Knowledge,
+    pub(super) observed: Observed,
 }
 
-/// The orders of one leader.
+/// Schedules the commands of one leader during one term.
 #[derive(Debug, Clone)]
-pub struct Commands {
+pub struct CommandScheduler {
     cfg: CommandConfig,
     pub(super) term: u64,
     pub(super) sequence: u64,
-    /// From when on engines that do not check may get orders.
-    pub(super) unchecked_from: Instant,
+    /// Time from which engines that do not check the fence may get commands.
+    pub(super) unfenced_from: Instant,
     pub(super) engines: BTreeMap<RunnerName, EngineState>,
 }
 
-impl Commands {
-    /// Begins the orders of a new leader's term.
-    pub fn begin(cfg: CommandConfig, term: u64, now: Instant) -> Self {
-        let unchecked_from = now + cfg.lease + cfg.deadline;
-        Self { cfg, term, sequence: 0, unchecked_from, engines: BTreeMap::new() }
+impl CommandScheduler {
+    /// Creates the scheduler of a leader that was elected for `term` at `now`.
+    pub fn new(cfg: CommandConfig, term: u64, now: Instant) -> Self {
+        let unfenced_from = now + cfg.lease + cfg.deadline;
+        Self { cfg, term, sequence: 0, unfenced_from, engines: BTreeMap::new() }
     }
 
-    /// Returns the term that the orders carry.
+    /// Returns the term in the fencing tokens.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Takes in what the engines are to hold.
+    /// Replaces the desired state of all engines; engines without a target are dropped.
     pub fn set_targets(&mut self, targets: BTreeMap<RunnerName, Target>, now: Instant) {
         self.engines.retain(|name, _| targets.contains_key(name));
         for (name, target) in targets {
             let new = EngineState {
                 target: target.clone(),
-                knowledge: Knowledge::Unknown { look_at: now },
+                observed: Observed::Unknown { read_at: now },
             };
             self.engines.entry(name).or_insert(new).target = target;
         }
     }
 
-    /// Returns what is due while the lease lasts until `lease_until`.
+    /// Returns the actions that are due; commands are sent only within the lease, which ends at
+    /// `lease_until`.
     pub fn tick(&mut self, now: Instant, lease_until: Option<Instant>) -> Vec<CommandAction> {
         let mut actions = Vec::new();
         self.expire(now);
         for (name, engine) in &mut self.engines {
-            if matches!(engine.knowledge, Knowledge::Unknown { look_at } if now >= look_at) {
-                engine.knowledge = Knowledge::Reading;
+            if matches!(engine.observed, Observed::Unknown { read_at } if now >= read_at) {
+                engine.observed = Observed::Reading;
                 let (runner, addr) = (name.clone(), engine.target.addr);
                 actions.push(CommandAction::Read { runner, addr });
             }
@@ -155,70 +159,72 @@
         let in_lease =
             lease_until.is_some_and(|until| now + self.cfg.deadline + self.cfg.margin <= until);
         if in_lease {
-            actions.extend(self.due_orders(now));
+            actions.extend(self.due_commands(now));
         }
         actions
     }
 
-    /// Takes in what an engine holds, or that it does not answer.
+    /// Records the result of [`CommandAction::Read`]; `None` if the engine did not answer.
     pub fn on_holdings(&mut self, runner: &str, holdings: Option<&EngineHoldings>, now: Instant) {
-        let look_at = now + self.cfg.retry;
+        let read_at = now + self.cfg.retry_interval;
         let Some(engine) = self.engines.get_mut(runner) else { return };
-        if engine.knowledge != Knowledge::Reading {
+        if engine.observed != Observed::Reading {
             return;
         }
-        engine.knowledge = match holdings {
-            Some(held) => held_by(held),
-            None => Knowledge::Unknown { look_at },
+        engine.observed = match holdings {
+            Some(holdings) => observed_holdings(holdings),
+            None => Observed::Unknown { read_at },
         };
     }
 
-    /// Takes in what became of an order.
+    /// Records the outcome of [`CommandAction::Send`].
     pub fn on_sent(&mut self, runner: &str, outcome: &SendOutcome, now: Instant) {
-        let look_at = now + self.cfg.retry;
+        let read_at = now + self.cfg.retry_interval;
         let Some(engine) = self.engines.get_mut(runner) else { return };
-        let Knowledge::Ordered { until } = engine.knowledge else { return };
-        engine.knowledge = match outcome {
-            SendOutcome::Done(held) => held_by(held),
-            SendOutcome::Fenced => Knowledge::Unknown { look_at },
-            // Until its deadline the order may still arrive; then the engine is looked at.
-            SendOutcome::Unknown => Knowledge::Unknown { look_at: until },
+        let Observed::CommandSent { deadline } = engine.observed else { return };
+        engine.observed = match outcome {
+            SendOutcome::Done(holdings) => observed_holdings(holdings),
+            SendOutcome::Fenced => Observed::Unknown { read_at },
+            // The command may still arrive until its deadline, so the engine is read after it.
+            SendOutcome::Unknown => Observed::Unknown { read_at: deadline },
         };
     }
 
-    /// Returns the engines that do not hold what they are to hold, as far as is known.
+    /// Returns the engines that are not known to hold their target.
     pub fn pending(&self) -> Vec<RunnerName> {
-        let pending = self.engines.iter().filter(|(_, engine)| !engine.is_settled());
+        let pending = self.engines.iter().filter(|(_, engine)| !engine.holds_target());
         pending.map(|(name, _)| name.clone()).collect()
     }
 
+    /// Schedules a read of the engines whose command reached its deadline without an outcome.
     fn expire(&mut self, now: Instant) {
         for engine in self.engines.values_mut() {
-            if matches!(engine.knowledge, Knowledge::Ordered { until } if now > until) {
-                engine.knowledge = Knowledge::Unknown { look_at: now };
+            if matches!(engine.observed, Observed::CommandSent { deadline } if now > deadline) {
+                engine.observed = Observed::Unknown { read_at: now };
             }
         }
     }
 
-    fn due_orders(&mut self, now: Instant) -> Vec<CommandAction> {
-        let ordered = |e: &EngineState| matches!(e.knowledge, Knowledge::Ordered { .. });
-        let loading = self.engines.values().filter(|e| ordered(e)).count();
-        let free = self.cfg.max_loads.saturating_sub(loading);
-        let unchecked = now >= self.unchecked_from;
+    /// Returns the commands to send now, by descending priority, up to the concurrency limit.
+    fn due_commands(&mut self, now: Instant) -> Vec<CommandAction> {
+        let in_flight = |e: &EngineState| matches!(e.observed, Observed::CommandSent { .. });
+        let loading = self.engines.values().filter(|e| in_flight(e)).count();
+        let free = self.cfg.max_concurrent_loads.saturating_sub(loading);
+        let unfenced_allowed = now >= self.unfenced_from;
         let due = self.engines.iter().filter(|(_, engine)| {
-            let known = matches!(engine.knowledge, Knowledge::Holds { .. });
-            known && !engine.is_settled() && (engine.target.checks_fence || unchecked)
+            let known = matches!(engine.observed, Observed::Holds { .. });
+            known && !engine.holds_target() && (engine.target.checks_fence || unfenced_allowed)
         });
         let mut due: Vec<(Priority, RunnerName)> =
             due.map(|(name, engine)| (engine.target.priority, name.clone())).collect();
         due.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        due.into_iter().take(free).filter_map(|(_, name)| self.order(name, now)).collect()
+        due.into_iter().take(free).filter_map(|(_, name)| self.send_load(name, now)).collect()
     }
 
-    fn order(&mut self, runner: RunnerName, now: Instant) -> Option<CommandAction> {
+    fn send_load(&mut self, runner: RunnerName, now: Instant) -> Option<CommandAction> {
         self.sequence += 1;
         let engine = self.engines.get_mut(&runner)?;
-        engine.knowledge = Knowledge::Ordered { until: now + self.cfg.deadline };
+        engine.observed = Observed::CommandSent { deadline: now + self.cfg.deadline };
         let Target { addr, model, version, .. } = engine.target.clone();
         let order = EngineOrder::LoadModel { model, version };
         let command = EngineCommand { term: self.term, sequence: self.sequence, order };
@@ -227,12 +233,12 @@
 }
 
 impl EngineState {
-    fn is_settled(&self) -> bool {
-        let Knowledge::Holds { model, version } = &self.knowledge else { return false };
+    fn holds_target(&self) -> bool {
+        let Observed::Holds { model, version } = &self.observed else { return false };
         *model == self.target.model && *version == self.target.version
     }
 }
 
-fn held_by(held: &EngineHoldings) -> Knowledge {
-    Knowledge::Holds { model: held.model.clone(), version: held.version.clone() }
+fn observed_holdings(holdings: &EngineHoldings) -> Observed {
+    Observed::Holds { model: holdings.model.clone(), version: holdings.version.clone() }
 }
--- a/crates/hatchpitch/src/commands/task.rs
+++ b/crates/hatchpitch/src/commands/task.rs
@@ -1,4 +1,4 @@
-//! Sends the orders while this control box leads.
+//! Sends commands to the engines while this control box leads.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,40 +9,41 @@
 use hatchpitch_net::{Stop, Upstream, clock};
 use http::StatusCode;
 
-use super::state::{CommandAction, CommandConfig, Commands, SendOutcome, Target};
+use super::state::{CommandAction, CommandConfig, CommandScheduler, SendOutcome, Target};
 use crate::config::FleetView;
 use crate::control::context::ControlCx;
 use crate::engine::adapter::{self, EngineError};
 use crate::engine::messages::{EngineCommand, EngineHoldings};
 use crate::ids::{ConfigNumber, Priority, RunnerName};
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between two calls of [`CommandScheduler::tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 const HOLDINGS_PATH: &str = "/v1/holdings";
 const COMMANDS_PATH: &str = "/v1/commands";
 
-/// The orders of this box's term as a leader.
-struct Leading {
-    commands: Commands,
-    /// Configuration number that the targets were made from.
-    targets_of: Option<ConfigNumber>,
+/// State that exists while this box leads, for one term.
+struct LeaderState {
+    scheduler: CommandScheduler,
+    /// Number of the configuration that the targets were derived from.
+    targets_number: Option<ConfigNumber>,
 }
 
-type Shared = Rc<RefCell<Option<Leading>>>;
+type SharedLeaderState = Rc<RefCell<Option<LeaderState>>>;
 
-/// Sends what is due until `stop`.
+/// Performs the actions that are due until `stop` is set.
 pub async fn run(cx: Rc<ControlCx>, stop: Stop) {
-    let shared: Shared = Rc::default();
+    let shared: SharedLeaderState = Rc::default();
     while !stop.is_set() {
-        compio::time::sleep(TICK).await;
-        for action in due(&cx, &shared) {
+        compio::time::sleep(TICK_INTERVAL).await;
+        for action in due_actions(&cx, &shared) {
             let shared = shared.clone();
             compio::runtime::spawn(perform(shared, action)).detach();
         }
     }
 }
 
-fn due(cx: &ControlCx, shared: &Shared) -> Vec<CommandAction> {
+/// Returns the actions that are due, and drops the state of a term whose lease ended.
+fn due_actions(cx: &ControlCx, shared: &SharedLeaderState) -> Vec<CommandAction> {
     let now = clock::now();
     let lease =
         cx.log().and_then(|log| log.with(|replica| Some((replica.term(), replica.lease_until()?))));
@@ -52,25 +53,25 @@
         return Vec::new();
     };
     let leading = match leading.take() {
-        Some(same) if same.commands.term() == term => leading.insert(same),
+        Some(current) if current.scheduler.term() == term => leading.insert(current),
         _ => {
-            let commands = Commands::begin(CommandConfig::default(), term, now);
-            leading.insert(Leading { commands, targets_of: None })
+            let scheduler = CommandScheduler::new(CommandConfig::default(), term, now);
+            leading.insert(LeaderState { scheduler, targets_number: None })
         }
     };
     let view = cx.config.view();
-    if leading.targets_of.replace(view.number) != Some(view.number) {
-        leading.commands.set_targets(targets(&view), now);
+    if leading.targets_number.replace(view.number) != Some(view.number) {
+        leading.scheduler.set_targets(targets(&view), now);
     }
-    leading.commands.tick(now, Some(lease_until))
+    leading.scheduler.tick(now, Some(lease_until))
 }
 
-/// Returns what each engine is to hold according to the configuration.
+/// Returns the desired state of every engine in the configuration.
 fn targets(view: &FleetView) -> BTreeMap<RunnerName, Target> {
     let mut targets = BTreeMap::new();
     for pool in &view.pools {
-        let payers = view.workspaces.iter().filter(|w| w.pools.contains(&pool.pool.name));
-        let priority = payers.map(|w| w.priority).max().unwrap_or(Priority::MIN);
+        let workspaces = view.workspaces.iter().filter(|w| w.pools.contains(&pool.pool.name));
+        let priority = workspaces.map(|w| w.priority).max().unwrap_or(Priority::MIN);
         for runner in &pool.runners {
             let target = Target {
                 addr: runner.addr,
@@ -85,39 +86,41 @@
     targets
 }
 
-async fn perform(shared: Shared, action: CommandAction) {
+async fn perform(shared: SharedLeaderState, action: CommandAction) {
     match action {
         CommandAction::Read { runner, addr } => {
-            let held = adapter::get_json::<EngineHoldings>(&upstream(addr), HOLDINGS_PATH).await;
-            if let Err(err) = &held {
-                log::debug!("holdings of {runner}: {err}");
+            let holdings =
+                adapter::get_json::<EngineHoldings>(&upstream(addr), HOLDINGS_PATH).await;
+            if let Err(err) = &holdings {
+                log::debug!("failed to read the holdings of engine {runner}: {err}");
             }
             if let Some(leading) = shared.borrow_mut().as_mut() {
-                leading.commands.on_holdings(&runner, held.ok().as_ref(), clock::now());
+                leading.scheduler.on_holdings(&runner, holdings.ok().as_ref(), clock::now());
             }
         }
         CommandAction::Send { runner, addr, command } => {
             log::info!(
-                "order {}.{} to {runner}: {:?}",
+                "sending command {}.{} to engine {runner}: {:?}",
                 command.term,
                 command.sequence,
                 command.order
             );
             let outcome = send(addr, &command).await;
             if let Some(leading) = shared.borrow_mut().as_mut() {
-                leading.commands.on_sent(&runner, &outcome, clock::now());
+                leading.scheduler.on_sent(&runner, &outcome, clock::now());
             }
         }
     }
 }
 
-/// Sends an order; at the deadline the connection is closed, so that it cannot arrive later.
+/// Sends a command. The connection is closed at the deadline, so that the command cannot arrive
+/// later.
 async fn send(addr: SocketAddr, command: &EngineCommand) -> SendOutcome {
     let upstream = upstream(addr);
     let sent = adapter::post_json(&upstream, COMMANDS_PATH, command);
     match compio::time::timeout(CommandConfig::default().deadline, sent).await {
         Ok(Ok(body)) => match serde_json::from_slice(&body) {
-            Ok(held) => SendOutcome::Done(held),
+            Ok(holdings) => SendOutcome::Done(holdings),
             Err(_) => SendOutcome::Unknown,
         },
         Ok(Err(EngineError::Refused { status: StatusCode::CONFLICT, .. })) => SendOutcome::Fenced,
--- a/crates/hatchpitch/src/commands/verify.rs
+++ b/crates/hatchpitch/src/commands/verify.rs
@@ -1,27 +1,29 @@
-//! Checks the orders of a leader against their invariants.
+//! Checks the commands of a leader against the invariants of [`super::state`].
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use super::state::{CommandAction, CommandConfig, Commands};
+use super::state::{CommandAction, CommandConfig, CommandScheduler};
 use crate::ids::RunnerName;
 
-/// Follows the actions of one leader.
+/// Checks the actions of one leader in the order in which they are taken.
 #[derive(Debug, Clone, Default)]
 pub struct CommandVerifier {
-    last: (u64, u64),
-    on_the_way: BTreeMap<RunnerName, Instant>,
+    /// Fencing token of the newest command.
+    last_fence: (u64, u64),
+    /// Deadlines of the commands without a known outcome.
+    in_flight: BTreeMap<RunnerName, Instant>,
 }
 
 impl CommandVerifier {
-    /// Takes in the actions of a tick.
+    /// Checks the actions of one [`CommandScheduler::tick`].
     ///
     /// # Errors
     ///
-    /// Returns the invariant that does not hold.
+    /// Returns a description of the violated invariant.
     pub fn observe(
         &mut self,
-        state: &Commands,
+        scheduler: &CommandScheduler,
         cfg: &CommandConfig,
         actions: &[CommandAction],
         now: Instant,
@@ -30,27 +32,31 @@
         for action in actions {
             let CommandAction::Send { runner, command, .. } = action else { continue };
             let fence = (command.term, command.sequence);
-            if fence <= self.last {
-                return Err(format!("fence {fence:?} after {:?}", self.last));
+            if fence <= self.last_fence {
+                return Err(format!("fence {fence:?} after {:?}", self.last_fence));
             }
-            self.last = fence;
+            self.last_fence = fence;
             if lease_until.is_none_or(|until| now + cfg.deadline > until) {
-                return Err(format!("{runner} could get an order after the lease"));
+                return Err(format!(
+                    "a command to {runner} could arrive after the end of the lease"
+                ));
             }
-            let engine = state.engines.get(runner).ok_or("an order to an unknown engine")?;
-            if !engine.target.checks_fence && now < state.unchecked_from {
-                return Err(format!("{runner} got an order while an earlier one may arrive"));
+            let engine = scheduler.engines.get(runner).ok_or("a command to an unknown engine")?;
+            if !engine.target.checks_fence && now < scheduler.unfenced_from {
+                return Err(format!(
+                    "a command to {runner} while one of an earlier leader may still arrive"
+                ));
             }
-            let open = self.on_the_way.insert(runner.clone(), now + cfg.deadline);
-            if open.is_some_and(|until| now < until) {
-                return Err(format!("{runner} has two orders on their way"));
+            let previous = self.in_flight.insert(runner.clone(), now + cfg.deadline);
+            if previous.is_some_and(|deadline| now < deadline) {
+                return Err(format!("two commands to {runner} are in flight"));
             }
         }
         Ok(())
     }
 
-    /// Notes that an order's outcome is known.
+    /// Records that the outcome of the command to `runner` is known.
     pub fn settled(&mut self, runner: &str) {
-        self.on_the_way.remove(runner);
+        self.in_flight.remove(runner);
     }
 }
--- a/crates/hatchpitch/tests/commands.rs
+++ b/crates/hatchpitch/tests/commands.rs
@@ -1,10 +1,11 @@
-//! Orders to engines: every interleaving of two leaders and one engine.
+//! Tests of the commands to engines, with an exhaustive search over the interleavings of two
+//! leaders and one engine.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
 use hatchpitch::commands::verify::CommandVerifier;
-use hatchpitch::commands::{CommandAction, CommandConfig, Commands, SendOutcome, Target};
+use hatchpitch::commands::{CommandAction, CommandConfig, CommandScheduler, SendOutcome, Target};
 use hatchpitch::engine::messages::{EngineCommand, EngineHoldings, EngineOrder};
 
 const STEP: Duration = Duration::from_millis(100);
@@ -14,7 +15,7 @@
         deadline: STEP * 2,
         margin: Duration::ZERO,
         lease: STEP * 3,
-        retry: STEP,
+        retry_interval: STEP,
         ..CommandConfig::default()
     }
 }
@@ -41,151 +42,167 @@
     }
 }
 
-/// Two leaders one after the other, one engine, and orders on their way.
+/// Two successive leaders, one engine, and the commands in flight.
 #[derive(Clone)]
-struct World {
+struct ModelState {
     time: u32,
-    leaders: [Option<Commands>; 2],
+    schedulers: [Option<CommandScheduler>; 2],
     verifiers: [CommandVerifier; 2],
-    /// Order, leader and the time after which it cannot arrive any more.
-    flying: Vec<(EngineCommand, u32)>,
-    /// Fence and version of every order that the engine carried out.
-    done: Vec<(u64, u64)>,
-    checks: bool,
+    /// Commands, and the last time step at which each can arrive.
+    in_flight: Vec<(EngineCommand, u32)>,
+    /// Fencing tokens of the commands that the engine executed, in order of execution.
+    executed: Vec<(u64, u64)>,
+    checks_fence: bool,
 }
 
-/// When the second leader is elected: the first one's lease has just ended.
-const ELECTED: u32 = 8;
+/// Time step at which the first lease ends and the second leader is elected.
+const SECOND_ELECTION: u32 = 8;
+/// Last time step that is explored.
 const END: u32 = 16;
 
-impl World {
+impl ModelState {
     fn now(&self, base: Instant) -> Instant {
         base + STEP * self.time
     }
 
     fn lease(&self, leader: usize, base: Instant) -> Option<Instant> {
         match leader {
-            0 => Some(base + STEP * ELECTED),
+            0 => Some(base + STEP * SECOND_ELECTION),
             _ => Some(self.now(base) + STEP * 3),
         }
     }
 
-    /// One leader looks at what is due; what it asks to read is answered at once.
+    /// Runs one tick of a leader; reads are answered immediately.
     fn tick(&mut self, leader: usize, base: Instant) {
         let (now, lease) = (self.now(base), self.lease(leader, base));
-        let Some(mut commands) = self.leaders[leader].take() else { return };
+        let Some(mut scheduler) = self.schedulers[leader].take() else { return };
         let version = ["1", "2"][leader];
-        let targets = BTreeMap::from([("e".to_owned(), target(self.checks, version, 1))]);
-        commands.set_targets(targets, now);
-        let actions = commands.tick(now, lease);
-        self.verifiers[leader].observe(&commands, &cfg(), &actions, now, lease).unwrap();
+        let targets = BTreeMap::from([("e".to_owned(), target(self.checks_fence, version, 1))]);
+        scheduler.set_targets(targets, now);
+        let actions = scheduler.tick(now, lease);
+        self.verifiers[leader].observe(&scheduler, &cfg(), &actions, now, lease).unwrap();
         for action in actions {
             match action {
                 CommandAction::Read { runner, .. } => {
-                    commands.on_holdings(&runner, Some(&holdings("0")), now);
+                    scheduler.on_holdings(&runner, Some(&holdings("0")), now);
+                }
+                CommandAction::Send { command, .. } => {
+                    self.in_flight.push((command, self.time + 2))
                 }
-                CommandAction::Send { command, .. } => self.flying.push((command, self.time + 2)),
             }
         }
-        self.leaders[leader] = Some(commands);
+        self.schedulers[leader] = Some(scheduler);
     }
 
-    fn arrive(&mut self, at: usize, base: Instant) {
+    /// Delivers one command in flight and reports its outcome to the leader that sent it.
+    fn deliver(&mut self, at: usize, base: Instant) {
         let now = self.now(base);
-        let (command, _) = self.flying.remove(at);
+        let (command, _) = self.in_flight.remove(at);
         let fence = (command.term, command.sequence);
-        let newest = self.done.iter().max().copied().unwrap_or((0, 0));
+        let newest_fence = self.executed.iter().max().copied().unwrap_or((0, 0));
         let leader = if command.term == 1 { 0 } else { 1 };
-        let outcome = if self.checks && fence < newest {
+        let outcome = if self.checks_fence && fence < newest_fence {
             SendOutcome::Fenced
         } else {
-            self.done.push(fence);
+            self.executed.push(fence);
             let EngineOrder::LoadModel { version, .. } = &command.order else { unreachable!() };
             SendOutcome::Done(holdings(version))
         };
-        if let Some(commands) = self.leaders[leader].as_mut() {
-            commands.on_sent("e", &outcome, now);
+        if let Some(scheduler) = self.schedulers[leader].as_mut() {
+            scheduler.on_sent("e", &outcome, now);
             self.verifiers[leader].settled("e");
         }
     }
 
-    fn next_worlds(&self, base: Instant) -> Vec<Self> {
+    /// Returns the states that one event leads to.
+    fn successors(&self, base: Instant) -> Vec<Self> {
         let mut next = Vec::new();
         let mut branch = |change: &dyn Fn(&mut Self)| {
-            let mut world = self.clone();
-            change(&mut world);
-            next.push(world);
+            let mut state = self.clone();
+            change(&mut state);
+            next.push(state);
         };
-        for at in 0..self.flying.len() {
-            branch(&|world| world.arrive(at, base));
+        for at in 0..self.in_flight.len() {
+            branch(&|state| state.deliver(at, base));
         }
-        branch(&|world| world.tick(0, base));
-        branch(&|world| world.tick(1, base));
-        branch(&|world| {
-            world.time += 1;
-            // A connection that is closed at its deadline delivers nothing afterwards.
-            let time = world.time;
-            world.flying.retain(|(_, until)| time <= *until);
-            if world.time == ELECTED {
-                world.leaders[1] = Some(Commands::begin(cfg(), 2, world.now(base)));
+        branch(&|state| state.tick(0, base));
+        branch(&|state| state.tick(1, base));
+        branch(&|state| {
+            state.time += 1;
+            // The connection of a command is closed at its deadline and delivers nothing later.
+            let time = state.time;
+            state.in_flight.retain(|(_, deadline)| time <= *deadline);
+            if state.time == SECOND_ELECTION {
+                state.schedulers[1] = Some(CommandScheduler::new(cfg(), 2, state.now(base)));
             }
         });
         next
     }
 
+    /// Returns a key that identifies the state in the set of visited states.
     fn key(&self) -> String {
-        let leaders =
-            self.leaders.iter().map(|l| format!("{:?}", l.as_ref().map(Commands::pending)));
-        let leaders: Vec<String> = leaders.collect();
-        format!("{} {leaders:?} {:?} {:?} {:?}", self.time, self.flying, self.done, self.leaders)
+        let pending = self
+            .schedulers
+            .iter()
+            .map(|l| format!("{:?}", l.as_ref().map(CommandScheduler::pending)));
+        let pending: Vec<String> = pending.collect();
+        format!(
+            "{} {pending:?} {:?} {:?} {:?}",
+            self.time, self.in_flight, self.executed, self.schedulers
+        )
     }
 }
 
-fn explore(checks: bool) -> usize {
+/// Explores all reachable states up to [`END`] and returns their number.
+fn explore(checks_fence: bool) -> usize {
     let base = Instant::now();
-    let first = World {
+    let initial = ModelState {
         time: 0,
-        leaders: [Some(Commands::begin(cfg(), 1, base)), None],
+        schedulers: [Some(CommandScheduler::new(cfg(), 1, base)), None],
         verifiers: Default::default(),
-        flying: Vec::new(),
-        done: Vec::new(),
-        checks,
+        in_flight: Vec::new(),
+        executed: Vec::new(),
+        checks_fence,
     };
-    let mut seen = HashSet::from([first.key()]);
-    let mut queue = VecDeque::from([first]);
-    while let Some(world) = queue.pop_front() {
-        for next in world.next_worlds(base) {
-            assert!(next.done.is_sorted(), "an old order after a newer one: {:?}", next.done);
-            if next.time <= END && seen.insert(next.key()) {
+    let mut visited = HashSet::from([initial.key()]);
+    let mut queue = VecDeque::from([initial]);
+    while let Some(state) = queue.pop_front() {
+        for next in state.successors(base) {
+            assert!(
+                next.executed.is_sorted(),
+                "a command was executed after a newer one: {:?}",
+                next.executed
+            );
+            if next.time <= END && visited.insert(next.key()) {
                 queue.push_back(next);
             }
         }
     }
-    seen.len()
+    visited.len()
 }
 
 #[test]
-fn no_order_of_an_old_term_is_carried_out_after_a_newer_one() {
-    for checks in [true, false] {
-        let states = explore(checks);
-        println!("{states} states, engine that checks: {checks}");
+fn command_of_an_old_term_never_runs_after_a_newer_one() {
+    for checks_fence in [true, false] {
+        let states = explore(checks_fence);
+        println!("{states} states, checks_fence: {checks_fence}");
         assert!(states > 100);
     }
 }
 
 #[test]
-fn higher_priorities_load_first_and_the_weight_store_is_not_overrun() {
+fn loads_run_by_priority_up_to_the_concurrency_limit() {
     let now = Instant::now();
-    let mut commands = Commands::begin(CommandConfig::default(), 1, now);
+    let mut scheduler = CommandScheduler::new(CommandConfig::default(), 1, now);
     let targets: BTreeMap<String, Target> =
         (1..=5).map(|i| (format!("e{i}"), target(true, "2", i))).collect();
-    commands.set_targets(targets, now);
+    scheduler.set_targets(targets, now);
     let lease = Some(now + Duration::from_secs(1));
-    commands.tick(now, lease);
+    scheduler.tick(now, lease);
     for i in 1..=5 {
-        commands.on_holdings(&format!("e{i}"), Some(&holdings("1")), now);
+        scheduler.on_holdings(&format!("e{i}"), Some(&holdings("1")), now);
     }
-    let sent: Vec<String> = commands
+    let sent: Vec<String> = scheduler
         .tick(now, lease)
         .into_iter()
         .map(|action| match action {
@@ -193,38 +210,38 @@
         })
         .collect();
     assert_eq!(sent, ["e5", "e4"]);
-    assert!(commands.tick(now, lease).is_empty());
-    commands.on_sent("e5", &SendOutcome::Done(holdings("2")), now);
-    assert_eq!(commands.tick(now, lease).len(), 1);
+    assert!(scheduler.tick(now, lease).is_empty());
+    scheduler.on_sent("e5", &SendOutcome::Done(holdings("2")), now);
+    assert_eq!(scheduler.tick(now, lease).len(), 1);
 }
 
 #[test]
-fn nothing_is_ordered_without_or_near_the_end_of_a_lease() {
+fn no_command_is_sent_without_a_lease_or_near_its_end() {
     let now = Instant::now();
-    let mut commands = Commands::begin(CommandConfig::default(), 1, now);
-    commands.set_targets(BTreeMap::from([("e".to_owned(), target(true, "2", 1))]), now);
-    commands.tick(now, None);
-    commands.on_holdings("e", Some(&holdings("1")), now);
-    assert!(commands.tick(now, None).is_empty());
-    assert!(commands.tick(now, Some(now + Duration::from_millis(200))).is_empty());
-    assert_eq!(commands.tick(now, Some(now + Duration::from_secs(1))).len(), 1);
+    let mut scheduler = CommandScheduler::new(CommandConfig::default(), 1, now);
+    scheduler.set_targets(BTreeMap::from([("e".to_owned(), target(true, "2", 1))]), now);
+    scheduler.tick(now, None);
+    scheduler.on_holdings("e", Some(&holdings("1")), now);
+    assert!(scheduler.tick(now, None).is_empty());
+    assert!(scheduler.tick(now, Some(now + Duration::from_millis(200))).is_empty());
+    assert_eq!(scheduler.tick(now, Some(now + Duration::from_secs(1))).len(), 1);
 }
 
 #[test]
-fn an_order_of_unknown_outcome_is_read_back_after_its_deadline() {
+fn holdings_are_read_after_the_deadline_of_a_command_with_unknown_outcome() {
     let now = Instant::now();
-    let mut commands = Commands::begin(CommandConfig::default(), 1, now);
-    commands.set_targets(BTreeMap::from([("e".to_owned(), target(true, "2", 1))]), now);
+    let mut scheduler = CommandScheduler::new(CommandConfig::default(), 1, now);
+    scheduler.set_targets(BTreeMap::from([("e".to_owned(), target(true, "2", 1))]), now);
     let lease = |at: Instant| Some(at + Duration::from_secs(1));
-    commands.tick(now, lease(now));
-    commands.on_holdings("e", Some(&holdings("1")), now);
-    assert_eq!(commands.tick(now, lease(now)).len(), 1);
-    commands.on_sent("e", &SendOutcome::Unknown, now);
-    assert!(commands.tick(now, lease(now)).is_empty());
+    scheduler.tick(now, lease(now));
+    scheduler.on_holdings("e", Some(&holdings("1")), now);
+    assert_eq!(scheduler.tick(now, lease(now)).len(), 1);
+    scheduler.on_sent("e", &SendOutcome::Unknown, now);
+    assert!(scheduler.tick(now, lease(now)).is_empty());
     let later = now + CommandConfig::default().deadline;
-    let looks = commands.tick(later, lease(later));
-    assert!(matches!(looks.as_slice(), [CommandAction::Read { .. }]));
-    commands.on_holdings("e", Some(&holdings("2")), later);
-    assert!(commands.tick(later, lease(later)).is_empty());
-    assert!(commands.pending().is_empty());
+    let actions = scheduler.tick(later, lease(later));
+    assert!(matches!(actions.as_slice(), [CommandAction::Read { .. }]));
+    scheduler.on_holdings("e", Some(&holdings("2")), later);
+    assert!(scheduler.tick(later, lease(later)).is_empty());
+    assert!(scheduler.pending().is_empty());
 }
