--- a/crates/hatchpitch/tests/switches.rs
+++ b/crates/hatchpitch/tests/switches.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that settings switch off, to learn what they are worth.
+//! Tests of the policy settings that disable single mechanisms, for measurements without them.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
     load_toml::<RawPolicy, Policy>("policy.toml", text)
 }
 
-/// Each switch with the field that it sets.
+/// Name of a setting, and a function that reads the field that it sets.
 type Switch = (&'static str, fn(&Policy) -> bool);
 
 const SWITCHES: [Switch; 6] = [
@@ -25,31 +25,31 @@
 ];
 
 #[test]
-fn every_mechanism_is_on_and_each_is_switched_off_by_itself() {
+fn mechanisms_are_enabled_by_default_and_disabled_independently() {
     let default = policy("").unwrap();
     assert_eq!(default, Policy::default());
-    for (name, is_on) in SWITCHES {
-        assert!(is_on(&default), "{name}");
-        let off = policy(&format!("{name} = false")).unwrap();
-        let still_on = SWITCHES.iter().filter(|(_, is_on)| is_on(&off)).count();
-        assert!(!is_on(&off) && still_on == SWITCHES.len() - 1, "{name}");
+    for (name, is_enabled) in SWITCHES {
+        assert!(is_enabled(&default), "{name}");
+        let disabled = policy(&format!("{name} = false")).unwrap();
+        let still_enabled = SWITCHES.iter().filter(|(_, is_enabled)| is_enabled(&disabled)).count();
+        assert!(!is_enabled(&disabled) && still_enabled == SWITCHES.len() - 1, "{name}");
     }
 }
 
 #[test]
-fn a_switch_that_does_not_exist_is_named() {
+fn unknown_setting_is_named_in_the_error() {
     let err = policy("movse = false").unwrap_err().to_string();
     assert!(err.contains("movse"), "{err}");
 }
 
 #[test]
-fn a_policy_that_does_not_exist_is_named_with_those_that_do() {
+fn unknown_memory_policy_is_reported_with_the_known_ones() {
     let err = policy("memory = \"infinite\"").unwrap_err().to_string();
     assert!(err.contains("policy.memory") && err.contains("survival"), "{err}");
 }
 
-/// Picks a runner of two after one failed; returns whether it may be the one that failed.
-fn picks_what_failed(ejects: bool) -> bool {
+/// Fails a run on one of two runners and returns whether later picks still include that runner.
+fn picks_failed_runner(ejects: bool) -> bool {
     let now = Instant::now();
     let cfg = RoutingConfig { ejects, memory: MemoryPolicy::Unlimited, ..RoutingConfig::default() };
     let mut table = RunnerTable::new(cfg);
@@ -72,7 +72,7 @@
     let failed = pick(&mut table);
     let report = RunReport { verdict: Verdict::Failed, ..RunReport::RELEASED };
     table.give_back(&failed, &id, report, now);
-    // Equal loads are taken in turn, so two picks would see both.
+    // Runners of equal load are picked in turn, so two picks cover both runners.
     [pick(&mut table), pick(&mut table)].contains(&failed)
 }
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_runner_that_failed_is_ejected_unless_that_is_switched_off() {
-    assert!(!picks_what_failed(true));
-    assert!(picks_what_failed(false));
+fn failed_runner_is_ejected_unless_ejection_is_disabled() {
+    assert!(!picks_failed_runner(true));
+    assert!(picks_failed_runner(false));
 }
