--- a/crates/hatchpitch/src/control/boxes.rs
+++ b/crates/hatchpitch/src/control/boxes.rs
@@ -1,4 +1,4 @@
-//! The control box's listener for other boxes.
+//! Requests of other boxes to a control box.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 
 use super::context::{ControlCx, ProposeError};
-use super::daemon::{BODY_LIMIT, MAX_BODY};
+use super::daemon::{BODY_TIMEOUT, MAX_BODY};
 use super::join::{self, JOIN_PATH, JoinRequest};
 use super::leader::LeaderAnswer;
 use super::machine::{Order, Reply};
@@ -30,31 +30,34 @@
 use crate::replication::task::{LOG_PATH, SEND_LIMIT};
 use crate::replication::transfer::{LogPart, PART_PATH};
 
-type Answered = Result<Response<Body>, Box<Response<Body>>>;
+type HandlerResult = Result<Response<Body>, Box<Response<Body>>>;
 
-/// Answers one message of another box.
+/// Handles one request of another box.
 pub async fn handle(cx: Rc<ControlCx>, req: Request<Incoming>) -> Response<Body> {
     if req.method() != Method::POST {
         return text_response(StatusCode::METHOD_NOT_ALLOWED, "method: expected POST");
     }
     let (parts, incoming) = req.into_parts();
-    let body = match read_body(incoming, MAX_BODY, BODY_LIMIT).await {
+    let body = match read_body(incoming, MAX_BODY, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(err) => return text_response(StatusCode::BAD_REQUEST, err.to_string()),
     };
-    let message = Message { cx: &cx, path: parts.uri.path(), headers: &parts.headers, body: &body };
-    message.answer().await.unwrap_or_else(|refusal| *refusal)
+    let request =
+        BoxRequest { cx: &cx, path: parts.uri.path(), headers: &parts.headers, body: &body };
+    request.answer().await.unwrap_or_else(|rejection| *rejection)
 }
 
-struct Message<'a> {
+/// A request whose body has arrived and whose signature is not verified yet.
+struct BoxRequest<'a> {
     cx: &'a Rc<ControlCx>,
     path: &'a str,
     headers: &'a HeaderMap,
     body: &'a [u8],
 }
 
-impl Message<'_> {
-    async fn answer(&self) -> Answered {
+impl BoxRequest<'_> {
+    /// Verifies, decodes and serves the request.
+    async fn answer(&self) -> HandlerResult {
         match self.path {
             FEED_PATH => {
                 let req = self.open::<FeedRequest>()?;
@@ -62,7 +65,7 @@
             }
             CLAIM_PATH => {
                 let req = self.open::<ClaimRequest>()?;
-                self.ordered(Order::Claim(req), |reply| match reply {
+                self.propose_order(Order::Claim(req), |reply| match reply {
                     Reply::Claim(outcome) => outcome,
                     Reply::Config(_)
                     | Reply::Settled
@@ -74,14 +77,14 @@
             }
             LOG_PATH => {
                 let batch = self.open::<LogBatch>()?;
-                self.receive(batch);
+                self.receive_batch(batch);
                 Ok(self.cx.boxes.respond(&()))
             }
             PART_PATH => {
                 let part = self.open::<LogPart>()?;
-                let (answer, whole) = self.cx.log_parts.borrow_mut().take(part, clock::now());
-                if let Some(message) = whole {
-                    self.receive(decode(&message)?);
+                let (answer, complete) = self.cx.log_parts.borrow_mut().take(part, clock::now());
+                if let Some(message) = complete {
+                    self.receive_batch(decode(&message)?);
                 }
                 Ok(self.cx.boxes.respond(&answer))
             }
@@ -95,15 +98,15 @@
                     Box::new(text_response(StatusCode::SERVICE_UNAVAILABLE, text))
                 })?;
                 answer.control = self.cx.core_addrs();
-                answer.out_of_touch = self.cx.is_out_of_touch();
+                answer.out_of_touch = self.cx.has_no_leader();
                 Ok(self.cx.boxes.respond(&answer))
             }
             NEWS_PATH => {
                 let news = self.open::<RegistryNews>()?;
-                let newcomer = self.cx.note_control(&news);
+                let new_peer = self.cx.record_control_peers(&news);
                 self.cx.registry.take(news);
-                if let Some(peer) = newcomer {
-                    registrations::introduce(self.cx, peer);
+                if let Some(peer) = new_peer {
+                    registrations::send_known_upstreams(self.cx, peer);
                 }
                 Ok(self.cx.boxes.respond(&()))
             }
@@ -117,22 +120,23 @@
             }
             SETTLE_PATH => {
                 let req = self.open::<SettleRequest>()?;
-                self.ordered(Order::Settle(req), |_| ()).await
+                self.propose_order(Order::Settle(req), |_| ()).await
             }
             EVIDENCE_PATH => {
                 let mut evidence = self.open::<Evidence>()?;
                 evidence.enforce_limits();
-                self.ordered(Order::Crashes(evidence), |_| ()).await
+                self.propose_order(Order::Crashes(evidence), |_| ()).await
             }
             _ => Err(Box::new(text_response(StatusCode::NOT_FOUND, "no such path"))),
         }
     }
 
-    /// Passes messages of the log on; before it began, they are only a sign of being let in.
-    fn receive(&self, batch: LogBatch) {
+    /// Passes messages to the replica. Before it is started, a message from a leader only shows
+    /// that this box was added to the group.
+    fn receive_batch(&self, batch: LogBatch) {
         let own = self.cx.id;
-        for asked in batch.envelopes.iter().filter(|e| e.to != own) {
-            if let Some(answer) = answer_for_former(asked) {
+        for envelope in batch.envelopes.iter().filter(|e| e.to != own) {
+            if let Some(answer) = answer_for_former(envelope) {
                 self.send_log(batch.reply_to, answer);
             }
         }
@@ -141,33 +145,37 @@
             None => {
                 let mut to_own = batch.envelopes.iter().filter(|e| e.to == own);
                 if to_own.any(|e| e.message.is_from_leader()) {
-                    self.cx.invited.set(true);
+                    self.cx.contacted_by_leader.set(true);
                 }
             }
         }
     }
 
-    /// Sends one message of the log without waiting; the receiver asks again if it is lost.
+    /// Sends one replication message in the background; if it is lost, the receiver repeats its
+    /// request.
     fn send_log(&self, to: SocketAddr, envelope: Envelope) {
         let (client, reply_to) = (self.cx.boxes.clone(), self.cx.settings.own.boxes_addr);
         let batch = LogBatch { reply_to, envelopes: vec![envelope] };
         compio::runtime::spawn(async move {
             if let Err(err) = client.call::<_, ()>(to, LOG_PATH, &batch, SEND_LIMIT).await {
-                log::debug!("answer for a former identity: {err}");
+                log::debug!("failed to send the reply for a former identity of this box: {err}");
             }
         })
         .detach();
     }
 
+    /// Verifies the signature of the request and decodes its body.
     fn open<Q: DeserializeOwned>(&self) -> Result<Q, Box<Response<Body>>> {
         open_message(&self.cx.settings.box_keys, self.path, self.headers, self.body)
     }
 
-    async fn ordered<A: serde::Serialize>(
+    /// Proposes an order to the replicated log and converts its reply into the response; a box that
+    /// does not lead names the leader instead.
+    async fn propose_order<A: serde::Serialize>(
         &self,
         order: Order,
         answer: impl FnOnce(Reply) -> A,
-    ) -> Answered {
+    ) -> HandlerResult {
         match self.cx.propose(order).await {
             Ok(reply) => Ok(self.cx.boxes.respond(&LeaderAnswer::Served(answer(reply)))),
             Err(ProposeError::NotLeader(leader)) => {
@@ -181,7 +189,7 @@
     }
 }
 
-/// Decodes a message of the log that came in parts, each of which was signed.
+/// Decodes a replication message that arrived in parts; each part carried its own signature.
 fn decode(message: &[u8]) -> Result<LogBatch, Box<Response<Body>>> {
     rmp_serde::from_slice(message).map_err(|err| {
         let text = format!("{PART_PATH}: message does not decode: {err}");
--- a/crates/hatchpitch/src/control/context.rs
+++ b/crates/hatchpitch/src/control/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one control process share.
+//! State that the tasks of one control process share.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
@@ -23,70 +23,72 @@
 use crate::replication::{Members, NodeId, Peer};
 use crate::settings::ControlSettings;
 
-/// Why an order was not carried out here.
+/// Why proposing an order to the replicated log failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposeError {
-    /// Another box leads, if it is known; nothing was begun.
+    /// This box does not lead, and the order was not appended. Names the leader if it is known.
     NotLeader(Option<Peer>),
-    /// Whether the order was or will be carried out is not known.
+    /// The order may or may not have been applied, or may be applied later.
     Unknown(String),
 }
 
-/// Time in which one line is written about refused announcements of one id.
-const REFUSAL_LINE_PERIOD: Duration = Duration::from_secs(60);
-/// Ids about whose refused announcements lines are written in that time.
-const MAX_REFUSED: usize = 256;
-/// Time after which a control box that says nothing is no longer called.
-const FORGET_CONTROL: Duration = Duration::from_secs(20);
+/// Minimum interval between two log lines about refused announcements of the same id.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(60);
+/// Maximum number of ids whose refused announcements are logged within that interval.
+const MAX_REFUSED_IDS: usize = 256;
+/// Time after which a control box that sent no news is removed from the known peers.
+const CONTROL_PEER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What is known of another control box.
+/// State of another control box, as learned from news about upstreams.
 #[derive(Debug, Clone, Copy)]
-struct KnownControl {
-    /// When it was heard from or named last.
-    heard: Instant,
-    /// Whether it can unpack records of upstreams.
+struct ControlPeerState {
+    /// When it last sent news, or when another box first named it.
+    last_heard: Instant,
+    /// Whether it can decode packed records of upstreams.
     unpacks: bool,
-    /// Life of its table of upstreams, if it has said so.
+    /// Epoch of its table of upstreams; 0 if not known.
     epoch: Epoch,
 }
 
 /// Shared state of a control process.
 pub struct ControlCx {
-    /// Settings.
+    /// Settings of this box.
     pub settings: ControlSettings,
-    /// Identity of this box's disk.
+    /// Identity of the replica on this box's disk.
     pub id: NodeId,
-    /// Configuration in force here, for the feed.
+    /// Configuration in force on this box, served by the feed.
     pub config: ConfigCell,
-    /// Metrics.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// Client for other boxes.
+    /// Client for requests to other boxes.
     pub boxes: BoxClient,
-    /// Whether a leader has sent this box its log before it had one.
-    pub invited: Cell<bool>,
-    /// Whether a change of who takes part is under way here.
-    pub joining: Cell<bool>,
-    /// Held while a configuration is decoded and submitted: each takes several times its size in
-    /// memory, so they go one after the other.
+    /// Whether a leader sent replication messages while this box had no log.
+    pub contacted_by_leader: Cell<bool>,
+    /// Whether this box is performing a membership change.
+    pub changing_members: Cell<bool>,
+    /// Held while a configuration is decoded and submitted. Decoding takes several times the size
+    /// of a configuration in memory, so configurations are processed one at a time.
     pub submitting: Mutex<()>,
-    /// Upstreams that announce themselves.
+    /// Table of the upstreams that announced themselves.
     pub registry: Rc<RegistryCell>,
-    /// News about upstreams that wait to be passed on.
+    /// News about upstreams that are queued for the other control boxes.
     pub outbox: Rc<Outbox>,
-    /// Large messages of the log that arrive in parts.
+    /// Replication messages of which parts are still missing.
     pub log_parts: RefCell<Assembly>,
-    /// What a box that takes part told last; only kept by a box without a disk.
-    core: RefCell<Option<Hello>>,
-    /// Control boxes that were heard of.
-    known: RefCell<BTreeMap<SocketAddr, KnownControl>>,
-    /// Ids whose announcements were refused, and when a line was written about it.
-    refused: RefCell<BTreeMap<RunnerName, Instant>>,
+    /// Newest introduction of a member of the replication group; set only on a box without a disk.
+    core_hello: RefCell<Option<Hello>>,
+    /// Other control boxes by address, as learned from news about upstreams.
+    control_peers: RefCell<BTreeMap<SocketAddr, ControlPeerState>>,
+    /// Ids of refused announcements, and when each refusal was last logged.
+    refused_ids: RefCell<BTreeMap<RunnerName, Instant>>,
+    /// State that results from the applied log entries.
     machine: RefCell<Machine>,
+    /// Replica of the log; unset until it is started.
     log: OnceCell<ReplicaHandle>,
 }
 
 impl ControlCx {
-    /// Creates the shared state; the log begins later.
+    /// Creates the shared state, without a log until [`ControlCx::set_log`].
     pub fn new(settings: ControlSettings, id: NodeId, boxes: BoxClient) -> Rc<Self> {
         Rc::new(Self {
             settings,
@@ -94,52 +96,55 @@
             config: ConfigCell::new(boxes.backlog().clone()),
             metrics: Metrics::default(),
             boxes,
-            invited: Cell::new(false),
-            joining: Cell::new(false),
+            contacted_by_leader: Cell::new(false),
+            changing_members: Cell::new(false),
             submitting: Mutex::new(()),
             registry: Rc::new(RegistryCell::new(rand::random())),
             outbox: Rc::default(),
             log_parts: RefCell::default(),
-            core: RefCell::default(),
-            known: RefCell::default(),
-            refused: RefCell::default(),
+            core_hello: RefCell::default(),
+            control_peers: RefCell::default(),
+            refused_ids: RefCell::default(),
             machine: RefCell::new(Machine::new()),
             log: OnceCell::new(),
         })
     }
 
-    /// Gives access to the applied state.
+    /// Calls `read` with the applied state and returns its result.
     pub fn with_machine<T>(&self, read: impl FnOnce(&Machine) -> T) -> T {
         read(&self.machine.borrow())
     }
 
-    /// Sets the log once it has begun.
-    pub fn begin_log(&self, log: ReplicaHandle) {
-        // A second log cannot begin: the daemon starts one.
+    /// Sets the replica of the log once it is started.
+    pub fn set_log(&self, log: ReplicaHandle) {
+        // The daemon starts the log once, so the cell is empty here.
         let _ = self.log.set(log);
     }
 
-    /// Returns the log, once it has begun.
+    /// Returns the replica of the log, or `None` before it is started.
     pub fn log(&self) -> Option<&ReplicaHandle> {
         self.log.get()
     }
 
-    /// Returns who takes part in the log, as far as is known here.
+    /// Returns the members of the replication group: those in the log, or, without one, those that
+    /// another box reported.
     pub fn members(&self) -> Option<Members> {
-        let told = || self.core.borrow().as_ref().and_then(|hello| hello.members.clone());
-        self.log_members().or_else(told)
+        let from_hello =
+            || self.core_hello.borrow().as_ref().and_then(|hello| hello.members.clone());
+        self.log_members().or_else(from_hello)
     }
 
+    /// Returns the members according to the log of this box.
     fn log_members(&self) -> Option<Members> {
         self.log().map(|log| log.with(|replica| replica.members().clone()))
     }
 
-    /// Notes what a box that takes part told, for a box that has no disk.
-    pub fn note_core(&self, hello: Hello) {
-        *self.core.borrow_mut() = Some(hello);
+    /// Records the introduction of a member of the replication group; for a box without a disk.
+    pub fn set_core_hello(&self, hello: Hello) {
+        *self.core_hello.borrow_mut() = Some(hello);
     }
 
-    /// Returns how this box introduces itself to its peers.
+    /// Returns the introduction of this box to other control boxes.
     pub fn hello(&self) -> Hello {
         Hello {
             name: self.settings.own.name.clone(),
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Returns the functions through which the log drives the state.
+    /// Returns the callbacks through which the replica drives the state machine.
     pub fn applier(self: &Rc<Self>) -> Applier {
         let (apply, snapshot, restore, applied) =
             (self.clone(), self.clone(), self.clone(), self.clone());
@@ -181,11 +186,12 @@
         }
     }
 
-    /// Has an order carried out by the replicated log.
+    /// Proposes an order to the replicated log and waits until it is applied.
     ///
     /// # Errors
     ///
-    /// Returns a [`ProposeError`] if this box does not lead or lost the lead meanwhile.
+    /// Returns a [`ProposeError`] if this box does not lead, or if the outcome is unknown because
+    /// it stopped leading.
     pub async fn propose(&self, order: Order) -> Result<Reply, ProposeError> {
         let Some(log) = self.log() else { return Err(ProposeError::NotLeader(self.leader())) };
         let command = encode(&Command { at: unix_ms(), order });
@@ -197,17 +203,18 @@
         }
     }
 
-    /// Returns whether this box was elected to lead; it may not hold the lease yet, or any more.
+    /// Returns whether this box was elected leader; it may not hold the lease yet, or any more.
     pub fn is_elected(&self) -> bool {
         self.log().is_some_and(|log| log.with(|replica| replica.leads()))
     }
 
-    /// Returns whether this box leads.
+    /// Returns whether this box leads and holds the lease.
     pub fn leads(&self) -> bool {
         self.log().is_some_and(ReplicaHandle::holds_lease)
     }
 
-    /// Gives the lead to another control box, if this one leads; returns whether one was asked.
+    /// Hands leadership over if this box leads; returns whether another control box was asked to
+    /// take it.
     pub async fn hand_over(&self) -> bool {
         match self.log() {
             Some(log) => log.hand_over().await,
@@ -215,30 +222,32 @@
         }
     }
 
-    /// Returns the leader, as far as it is known here.
+    /// Returns the leader, or `None` if this box knows none.
     pub fn leader(&self) -> Option<Peer> {
         if self.settings.data_folder.is_none() {
-            return self.core.borrow().as_ref().and_then(|hello| hello.leader.clone());
+            return self.core_hello.borrow().as_ref().and_then(|hello| hello.leader.clone());
         }
         self.log()?.with(|replica| replica.members().get(replica.leader()?).cloned())
     }
 
-    /// Returns where other boxes reach the control boxes, this one left out: those that take
-    /// part, and those of the settings.
+    /// Returns the addresses of the other control boxes: members of the replication group, boxes in
+    /// the settings, and boxes learned from news about upstreams.
     pub fn peer_addrs(&self) -> Vec<SocketAddr> {
         let own = self.settings.own.boxes_addr;
         let members = self.members().unwrap_or_default();
         let members = members.all().map(|(_, peer)| peer.boxes_addr).collect::<Vec<_>>();
         let settings = self.settings.peers.iter().map(|peer| peer.boxes_addr);
-        let known: Vec<SocketAddr> = self.known.borrow().keys().copied().collect();
-        let mut addrs: Vec<SocketAddr> = members.into_iter().chain(settings).chain(known).collect();
+        let heard_of: Vec<SocketAddr> = self.control_peers.borrow().keys().copied().collect();
+        let mut addrs: Vec<SocketAddr> =
+            members.into_iter().chain(settings).chain(heard_of).collect();
         addrs.retain(|addr| *addr != own);
         addrs.sort_unstable();
         addrs.dedup();
         addrs
     }
 
-    /// Returns where other boxes reach the replicas that take part, this one included.
+    /// Returns the addresses of the members of the replication group, this box included; if they
+    /// are unknown, the addresses of the other control boxes.
     pub fn core_addrs(&self) -> Vec<SocketAddr> {
         match self.members() {
             Some(members) => members.all().map(|(_, peer)| peer.boxes_addr).collect(),
@@ -246,30 +255,31 @@
         }
     }
 
-    /// Takes in who sent news, and the control boxes that it knows. Returns the sender if its table
-    /// is new, so that it lacks what this box knows.
-    pub fn note_control(&self, news: &RegistryNews) -> Option<SocketAddr> {
-        let heard = clock::now();
-        let mut known = self.known.borrow_mut();
-        known.retain(|_, known| heard.duration_since(known.heard) < FORGET_CONTROL);
+    /// Records the sender of news and the control boxes that it names. Returns the sender if its
+    /// table is new and so lacks the upstreams that this box knows.
+    pub fn record_control_peers(&self, news: &RegistryNews) -> Option<SocketAddr> {
+        let last_heard = clock::now();
+        let mut peers = self.control_peers.borrow_mut();
+        peers.retain(|_, peer| last_heard.duration_since(peer.last_heard) < CONTROL_PEER_TIMEOUT);
         let (unpacks, epoch) = (news.unpacks, news.epoch);
-        let before =
-            news.from.and_then(|from| known.insert(from, KnownControl { heard, unpacks, epoch }));
+        let previous = news
+            .from
+            .and_then(|from| peers.insert(from, ControlPeerState { last_heard, unpacks, epoch }));
         let own = self.settings.own.boxes_addr;
         for addr in news.control.iter().filter(|addr| **addr != own) {
-            // Only what a box says itself keeps it known; being named makes it heard of once.
-            known.entry(*addr).or_insert(KnownControl { heard, unpacks: false, epoch: 0 });
+            // A box stays known only through its own news; being named by others does not renew it.
+            peers.entry(*addr).or_insert(ControlPeerState { last_heard, unpacks: false, epoch: 0 });
         }
-        news.from.filter(|_| epoch != 0 && before.is_none_or(|known| known.epoch != epoch))
+        news.from.filter(|_| epoch != 0 && previous.is_none_or(|peer| peer.epoch != epoch))
     }
 
-    /// Adds to news who sends it and which control boxes it knows, and packs the records if all
-    /// of these can unpack them.
-    pub fn signed_news(&self, mut news: RegistryNews) -> RegistryNews {
+    /// Adds the sender and the control boxes that it knows to `news`, and packs the records if all
+    /// of those boxes can decode packed records.
+    pub fn complete_news(&self, mut news: RegistryNews) -> RegistryNews {
         let own = self.settings.own.boxes_addr;
         let mut control = self.peer_addrs();
-        let known = self.known.borrow();
-        if control.iter().all(|peer| known.get(peer).is_some_and(|known| known.unpacks)) {
+        let peers = self.control_peers.borrow();
+        if control.iter().all(|addr| peers.get(addr).is_some_and(|peer| peer.unpacks)) {
             news.pack();
         }
         control.push(own);
@@ -277,43 +287,43 @@
         RegistryNews { from: Some(own), control, unpacks: true, epoch, ..news }
     }
 
-    /// Returns how news about upstreams reach the other control boxes.
+    /// Returns the means by which news about upstreams are sent to the other control boxes.
     pub fn registry_peers(self: &Rc<Self>) -> Rc<Peers> {
         let (find, complete) = (self.clone(), self.clone());
         Rc::new(Peers {
             client: self.boxes.clone(),
             find: Box::new(move || find.peer_addrs()),
-            complete: Box::new(move |news| complete.signed_news(news)),
+            complete: Box::new(move |news| complete.complete_news(news)),
         })
     }
 
-    /// Returns whether no announcement under this id was refused of late, so that a line about it
-    /// is due: whoever sends what is refused sends it again each second.
+    /// Returns whether the refusal of an announcement of `id` is to be logged. Refused
+    /// announcements are sent again each second, so refusals are logged at a limited rate.
     pub fn is_new_refusal(&self, id: &str) -> bool {
         let now = clock::now();
-        let mut refused = self.refused.borrow_mut();
-        refused.retain(|_, at| now.duration_since(*at) < REFUSAL_LINE_PERIOD);
-        if refused.contains_key(id) || refused.len() >= MAX_REFUSED {
+        let mut refused = self.refused_ids.borrow_mut();
+        refused.retain(|_, at| now.duration_since(*at) < REFUSAL_LOG_INTERVAL);
+        if refused.contains_key(id) || refused.len() >= MAX_REFUSED_IDS {
             return false;
         }
         refused.insert(id.to_owned(), now);
         true
     }
 
-    /// Returns whether this box is out of touch with the core, so that it may not hear of
-    /// upstreams that leave.
-    pub fn is_out_of_touch(&self) -> bool {
+    /// Returns whether this box knows no leader, so that it may miss upstreams that leave.
+    pub fn has_no_leader(&self) -> bool {
         self.leader().is_none()
     }
 
-    /// Returns where to follow the configuration: the leader, unless this box leads itself.
+    /// Returns the addresses from which this box fetches the configuration: that of the leader, or
+    /// none if this box leads or knows no leader.
     pub fn config_parents(&self) -> Vec<SocketAddr> {
-        let others =
+        let other_leader =
             self.leader().filter(|leader| leader.boxes_addr != self.settings.own.boxes_addr);
-        others.map(|leader| leader.boxes_addr).into_iter().collect()
+        other_leader.map(|leader| leader.boxes_addr).into_iter().collect()
     }
 
-    /// Returns whether a failure domain is known: by the settings, the configuration, or an
+    /// Returns whether a failure domain is known from the settings, the configuration, or an
     /// upstream that announced itself there.
     pub fn knows_domain(&self, domain: &str) -> bool {
         self.settings.failure_domains.contains(domain)
@@ -321,7 +331,7 @@
             || self.registry.with(|table| table.alive().any(|r| r.failure_domain == domain))
     }
 
-    /// While this box holds the lease, notes that its configuration is the newest.
+    /// Confirms that the configuration of this box is the newest, if it holds the lease.
     pub fn confirm_config(&self) {
         let now = clock::now();
         if self.leads() {
@@ -329,12 +339,13 @@
         }
     }
 
+    /// Applies one encoded command of the log and returns the encoded reply.
     fn apply(&self, command: &[u8]) -> Vec<u8> {
         let reply = match rmp_serde::from_slice::<Command>(command) {
             Ok(command) => self.machine.borrow_mut().apply(command),
             Err(err) => {
-                // Every replica reads the same bytes with the same result.
-                log::error!("a command of the log does not decode: {err}");
+                // All replicas decode the same bytes, so all of them skip this command.
+                log::error!("skipped a command of the log that does not decode: {err}");
                 Reply::Read
             }
         };
--- a/crates/hatchpitch/src/control/daemon.rs
+++ b/crates/hatchpitch/src/control/daemon.rs
@@ -1,4 +1,4 @@
-//! Wires a control process: listeners, the log, and the feed of configuration.
+//! Runs a control process: its listeners, the replicated log and the configuration feed.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -25,41 +25,42 @@
 use crate::settings::ControlSettings;
 use crate::signals;
 
-/// Largest message of another box, in bytes.
+/// Maximum size of a request body from another box, in bytes.
 pub const MAX_BODY: usize = 64 * 1024 * 1024;
-/// Time in which a body must arrive.
-pub const BODY_LIMIT: Duration = Duration::from_secs(10);
-/// Time between looks for terms of held requests that are over: a thousandth of the shortest.
-const TERMS_LOOK: Duration = Duration::from_millis(600);
-/// Time between confirmations of the configuration while this box leads.
-const CONFIRM_PERIOD: Duration = Duration::from_millis(100);
-
-/// Time between looks of a box without a disk at the core.
-const WATCH_PERIOD: Duration = Duration::from_millis(300);
-/// Longest wait for the next leader: some round trips and syncs of slow disks. Without one the
-/// others elect a leader by themselves.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(300);
-/// Time between looks for the next leader.
-const HAND_OVER_LOOK: Duration = Duration::from_millis(10);
-/// Identity of a box without a disk; no replica has it.
+/// Time within which a request body must arrive.
+pub const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between checks for held requests whose term has expired: a thousandth of the shortest
+/// term.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(600);
+/// Interval between confirmations of the configuration while this box leads. Also the interval at
+/// which a box without a log checks whether a leader has contacted it.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a box without a disk asks for the members of the replication group.
+const HELLO_INTERVAL: Duration = Duration::from_millis(300);
+/// Longest wait for the next leader after a hand-over: a few round trips and syncs of slow disks.
+/// If nobody has taken the lead by then, the others elect a leader.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval between checks for the next leader during a hand-over.
+const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Identity of a box without a disk; no replica has this identity.
 const NO_IDENTITY: NodeId = 0;
 
 /// Runs a control process until it is asked to stop.
 ///
 /// # Errors
 ///
-/// Returns an error that names the listener that could not be opened, or what is
-/// wrong with the data folder.
+/// Returns an error that names the listener that could not be opened or the fault of the data
+/// folder.
 pub async fn run(settings: ControlSettings) -> anyhow::Result<()> {
     run_with(settings, |_| Vec::new(), |_| {}).await
 }
 
-/// Runs a control process that serves further listeners beside its own. `reloaded` is called
+/// Runs a control process that also serves the listeners that `extra` returns. `reloaded` is called
 /// when the settings file may have changed.
 ///
 /// # Errors
 ///
-/// Returns an error as [`run`] does.
+/// Returns the same errors as [`run`].
 pub async fn run_with(
     settings: ControlSettings,
     extra: impl FnOnce(&Rc<ControlCx>) -> Vec<ExtraListener>,
@@ -88,7 +89,7 @@
     signals::on_hangup(move || reloaded(&reload_cx), stop.clone());
     let work = match disk {
         Some(disk) => run_log(&cx, disk, stop.clone()).boxed_local(),
-        None => watch_core(&cx, stop.clone()).boxed_local(),
+        None => follow_core(&cx, stop.clone()).boxed_local(),
     };
     let ended = select(work, Box::pin(signals::stop_requested()));
     match ended.await {
@@ -107,18 +108,19 @@
     Disk::folder(folder).with_context(|| format!("data folder {}", folder.display()))
 }
 
+/// Starts the background tasks that do not depend on the log.
 fn spawn_tasks(cx: &Rc<ControlCx>, stop: &Stop) {
     if cx.settings.data_folder.is_some() {
         spawn_essential("members", join::run(cx.clone(), stop.clone()));
     }
     spawn_essential("pressure", pressure::run(cx.boxes.clone(), stop.clone()));
-    let look = cx.clone();
-    let lonely = move || look.is_out_of_touch();
-    let renew = peers::run(cx.registry.clone(), cx.registry_peers(), lonely, stop.clone());
-    spawn_essential("upstreams", renew);
+    let leader_cx = cx.clone();
+    let has_no_leader = move || leader_cx.has_no_leader();
+    let renewal = peers::run(cx.registry.clone(), cx.registry_peers(), has_no_leader, stop.clone());
+    spawn_essential("upstreams", renewal);
 }
 
-/// Begins the log, then confirms the configuration for as long as the process runs.
+/// Starts the replica of the log, then confirms the configuration for as long as the process runs.
 async fn run_log(cx: &Rc<ControlCx>, disk: Disk, stop: Stop) -> anyhow::Result<()> {
     if !Storage::has_log(&disk)? {
         let begun = match cx.settings.bootstrap {
@@ -126,8 +128,8 @@
             false => Begun::Elsewhere,
         };
         if begun == Begun::Elsewhere {
-            log::info!("no log here; asks for a place in the one that goes on");
-            joined(cx, &disk).await?;
+            log::info!("no log on this disk; asking to join the running replication group");
+            wait_until_invited(cx, &disk).await?;
         }
     }
     let own_addr = cx.settings.own.boxes_addr;
@@ -141,52 +143,55 @@
         own_addr,
         stop.clone(),
     )?;
-    cx.begin_log(log);
-    log::info!("the log goes on; identity {:016x}", cx.id);
+    cx.set_log(log);
+    log::info!("replica of the log started, identity {:016x}", cx.id);
     spawn_essential("commands", commands::run(cx.clone(), stop.clone()));
     follow_leader(cx, stop);
-    let terms = cx.clone();
-    spawn_essential("held requests", async move { end_terms(&terms).await });
+    let expiry_cx = cx.clone();
+    spawn_essential("held requests", async move { expire_held_requests(&expiry_cx).await });
     loop {
         cx.confirm_config();
-        compio::time::sleep(CONFIRM_PERIOD).await;
+        compio::time::sleep(CONFIRM_INTERVAL).await;
     }
 }
 
-/// Has the log note the time once the term of a held request is over, as any order does.
-async fn end_terms(cx: &ControlCx) {
+/// Proposes an order without effect when the term of a held request has expired: applying any order
+/// advances the time of the state machine, which expires the request.
+async fn expire_held_requests(cx: &ControlCx) {
     loop {
-        compio::time::sleep(TERMS_LOOK).await;
+        compio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
         let is_due = cx.with_machine(|machine| machine.quarantine.is_due(unix_ms()));
         if is_due
             && cx.leads()
             && let Err(err) = cx.propose(Order::Read).await
         {
-            log::debug!("terms of held requests: {err:?}");
+            log::debug!("failed to expire held requests: {err:?}");
         }
     }
 }
 
-/// Gives the lead to another control box before this one ends, so that the core is not without a
-/// leader for as long as an election takes.
+/// Hands leadership over to another control box before this process ends, so that the group is not
+/// without a leader for the duration of an election.
 async fn hand_over(cx: &ControlCx) {
     if !cx.hand_over().await {
         return;
     }
-    let asked = clock::now();
-    while cx.leader().is_none() && clock::since(asked) < HAND_OVER_LIMIT {
-        compio::time::sleep(HAND_OVER_LOOK).await;
+    let started = clock::now();
+    while cx.leader().is_none() && clock::since(started) < HAND_OVER_TIMEOUT {
+        compio::time::sleep(HAND_OVER_POLL_INTERVAL).await;
     }
-    let took_ms = clock::since(asked).as_millis();
+    let took_ms = clock::since(started).as_millis();
     match cx.leader() {
         Some(next) => {
             log::info!(next = next.name.as_str(), took_ms = took_ms; "the lead was handed over");
         }
-        None => log::warn!(took_ms = took_ms; "the lead was given up and nobody has taken it yet"),
+        None => {
+            log::warn!(took_ms = took_ms; "no control box has taken the lead yet after the hand-over")
+        }
     }
 }
 
-/// Follows the leader's configuration, so that boxes that ask here get the newest.
+/// Fetches the configuration from the leader, so that this box serves the newest one.
 fn follow_leader(cx: &Rc<ControlCx>, stop: Stop) {
     let follower = cx.clone();
     spawn_essential("configuration", async move {
@@ -196,33 +201,34 @@
     });
 }
 
-/// On a box without a disk: keeps up with who takes part and who leads.
-async fn watch_core(cx: &Rc<ControlCx>, stop: Stop) -> anyhow::Result<()> {
-    log::info!("no data folder: this box takes no part in the log");
+/// Keeps the members and the leader of the replication group known on a box without a disk.
+async fn follow_core(cx: &Rc<ControlCx>, stop: Stop) -> anyhow::Result<()> {
+    log::info!("no data folder: this box is not a replica of the log");
     follow_leader(cx, stop);
     loop {
         for addr in cx.peer_addrs() {
             match bootstrap::hello(&cx.boxes, addr, &cx.hello()).await {
                 Ok(hello) if hello.members.is_some() && hello.leader.is_some() => {
-                    cx.note_core(hello);
+                    cx.set_core_hello(hello);
                     break;
                 }
                 Ok(_) => {}
-                Err(err) => log::debug!("introduction: {err}"),
+                Err(err) => log::debug!("introduction to control box {addr} failed: {err}"),
             }
         }
-        compio::time::sleep(WATCH_PERIOD).await;
+        compio::time::sleep(HELLO_INTERVAL).await;
     }
 }
 
-/// Waits until a leader that lets this box in has sent a first message.
-async fn joined(cx: &ControlCx, disk: &Disk) -> anyhow::Result<()> {
+/// Waits until the leader that adds this box to the group has sent a first message, then creates an
+/// empty log.
+async fn wait_until_invited(cx: &ControlCx, disk: &Disk) -> anyhow::Result<()> {
     loop {
-        if cx.invited.get() {
-            // Who takes part comes with the log; until then this box is none of them.
+        if cx.contacted_by_leader.get() {
+            // The members arrive with the log; until then this box is not one of them.
             return Ok(Storage::create(disk, crate::replication::Members::default())?);
         }
-        compio::time::sleep(CONFIRM_PERIOD).await;
+        compio::time::sleep(CONFIRM_INTERVAL).await;
     }
 }
 
--- a/crates/hatchpitch/src/control/evacuate.rs
+++ b/crates/hatchpitch/src/control/evacuate.rs
@@ -1,4 +1,4 @@
-//! Has an evacuation accepted by the replicated log.
+//! Begins and ends evacuations through the replicated log.
 
 use std::rc::Rc;
 
@@ -7,12 +7,12 @@
 use crate::evacuation::{EvacuationOrder, Evacuations};
 use crate::ids::FailureDomainName;
 
-/// Why an evacuation was not ordered.
+/// Why an evacuation was not begun or ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuateError {
-    /// Nobody has heard of the failure domain.
+    /// No failure domain of this name is known.
     UnknownDomain(FailureDomainName),
-    /// The log did not carry it out here.
+    /// Proposing the order to the replicated log failed.
     Propose(ProposeError),
 }
 
@@ -22,16 +22,16 @@
     }
 }
 
-/// Begins or ends an evacuation; what is already so is confirmed without an entry of its own.
-/// Returns the evacuations that hold then.
+/// Begins or ends an evacuation and returns the evacuations then in effect. An order that is
+/// already in effect is confirmed without appending it again.
 ///
 /// # Errors
 ///
-/// Returns an [`EvacuateError`]; the same order may then be given again anywhere.
+/// Returns an [`EvacuateError`]; the same order may then be repeated at any control box.
 pub async fn evacuate(
     cx: &ControlCx,
     order: EvacuationOrder,
-    by: &str,
+    operator: &str,
 ) -> Result<Rc<Evacuations>, EvacuateError> {
     if !cx.is_elected() {
         return Err(ProposeError::NotLeader(cx.leader()).into());
@@ -40,17 +40,18 @@
     if !cx.knows_domain(domain) && !cx.with_machine(|m| m.evacuations.is_evacuated(domain)) {
         return Err(EvacuateError::UnknownDomain(domain.clone()));
     }
-    let holds = || cx.with_machine(|m| m.evacuations.is_in_effect(&order));
-    if holds() {
-        // This box may have lost the lead, and another order may have come between.
+    let in_effect = || cx.with_machine(|m| m.evacuations.is_in_effect(&order));
+    if in_effect() {
+        // This box may no longer lead, and a newer order may have been committed: read the newest
+        // state before confirming.
         cx.propose(Order::Read).await?;
     }
-    if !holds() {
+    if !in_effect() {
         cx.propose(Order::Evacuate(order.clone())).await?;
     }
     let evacuations = cx.config.evacuations();
     log::info!(
-        operator = by, order:?, revision = evacuations.revision();
+        operator = operator, order:?, revision = evacuations.revision();
         "evacuation acknowledged"
     );
     Ok(evacuations)
--- a/crates/hatchpitch/src/control/leader.rs
+++ b/crates/hatchpitch/src/control/leader.rs
@@ -1,4 +1,4 @@
-//! Asks the control leader from an entry box, wherever it is.
+//! Client with which an entry box finds and asks the leader of the control boxes.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -9,37 +9,37 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Rest before another control box is asked: an election takes several of them.
-const RETRY_REST: Duration = Duration::from_millis(100);
+/// Delay before the next attempt; an election takes several of these delays.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A control box's answer to a call that only the leader can serve.
+/// Response of a control box to a request that only the leader can serve.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum LeaderAnswer<T> {
-    /// The leader's answer.
+    /// This box leads and served the request.
     Served(T),
-    /// Another box leads, if it is known.
+    /// This box does not lead. Names the address of the leader if it is known.
     NotLeader(Option<SocketAddr>),
 }
 
-/// Finds the control leader and asks it.
+/// Sends requests to the leader of the control boxes.
 #[derive(Clone)]
 pub struct LeaderClient {
     client: BoxClient,
-    /// Returns the control boxes that are known.
-    control: Rc<dyn Fn() -> Vec<SocketAddr>>,
-    /// The control box to ask first.
-    first: Rc<Cell<Option<SocketAddr>>>,
+    /// Returns the addresses of the known control boxes.
+    control_addrs: Rc<dyn Fn() -> Vec<SocketAddr>>,
+    /// Control box to ask next: the one that last served a request, or the one after a failure.
+    preferred: Rc<Cell<Option<SocketAddr>>>,
 }
 
 impl LeaderClient {
-    /// Creates a client of the control boxes that `control` returns at each call.
-    pub fn new(client: BoxClient, control: impl Fn() -> Vec<SocketAddr> + 'static) -> Self {
-        Self { client, control: Rc::new(control), first: Rc::default() }
+    /// Creates a client that asks the control boxes whose addresses `control_addrs` returns.
+    pub fn new(client: BoxClient, control_addrs: impl Fn() -> Vec<SocketAddr> + 'static) -> Self {
+        Self { client, control_addrs: Rc::new(control_addrs), preferred: Rc::default() }
     }
 
-    /// Asks the leader; `None` if none has answered within `budget`. Each call to one box may take
-    /// `limit`, and a lost answer makes the same request go to another one, so it must be safe to
-    /// take twice.
+    /// Sends a request to the leader and returns its response, or `None` if there was none within
+    /// `budget`. Each call to one box may take up to `limit`. If a response is lost, the request is
+    /// sent to another box, so the request must be idempotent.
     pub async fn ask<Q, A>(
         &self,
         path: &str,
@@ -54,15 +54,15 @@
         let started = clock::now();
         let mut hint = None;
         while clock::since(started) < budget {
-            let Some(peer) = hint.take().or_else(|| self.current()) else {
-                compio::time::sleep(RETRY_REST).await;
+            let Some(peer) = hint.take().or_else(|| self.next_target()) else {
+                compio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
             let answer: Result<LeaderAnswer<A>, CallError> =
                 self.client.call(peer, path, req, limit).await;
             match answer {
                 Ok(LeaderAnswer::Served(answer)) => {
-                    self.first.set(Some(peer));
+                    self.preferred.set(Some(peer));
                     return Some(answer);
                 }
                 Ok(LeaderAnswer::NotLeader(Some(leader))) if leader != peer => hint = Some(leader),
@@ -73,20 +73,21 @@
                 }
             }
             if hint.is_none() {
-                compio::time::sleep(RETRY_REST).await;
+                compio::time::sleep(RETRY_DELAY).await;
             }
         }
         None
     }
 
-    fn current(&self) -> Option<SocketAddr> {
-        self.first.get().or_else(|| (self.control)().first().copied())
+    /// Returns the control box to ask next, or `None` if none is known.
+    fn next_target(&self) -> Option<SocketAddr> {
+        self.preferred.get().or_else(|| (self.control_addrs)().first().copied())
     }
 
-    /// Goes on to the control box after `peer`.
+    /// Selects the control box after `peer`, wrapping around at the end of the list.
     fn advance(&self, peer: SocketAddr) {
-        let control = (self.control)();
-        let at = control.iter().position(|addr| *addr == peer).map_or(0, |at| at + 1);
-        self.first.set(control.get(at).or_else(|| control.first()).copied());
+        let control_addrs = (self.control_addrs)();
+        let at = control_addrs.iter().position(|addr| *addr == peer).map_or(0, |at| at + 1);
+        self.preferred.set(control_addrs.get(at).or_else(|| control_addrs.first()).copied());
     }
 }
--- a/crates/hatchpitch/src/control/machine.rs
+++ b/crates/hatchpitch/src/control/machine.rs
@@ -1,5 +1,6 @@
-//! What the replicated log drives: configuration, evacuations, held requests and claims, as one
-//! deterministic state machine.
+//! The replicated state machine: configuration, evacuations, held requests and claims.
+//!
+//! Applying the same entries gives the same state on every replica.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,36 +11,38 @@
 use crate::ids::ConfigNumber;
 use crate::quarantine::{Evidence, Ledger};
 
-/// What an entry of the log orders.
+/// Operation of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Put a configuration in force.
+    /// Puts a configuration in force.
     Config(ConfigChange),
-    /// Claim a request.
+    /// Claims a request.
     Claim(ClaimRequest),
-    /// Settle a claim.
+    /// Settles a claim.
     Settle(SettleRequest),
-    /// Change nothing; once applied, the state holds all that was committed before.
+    /// Changes nothing. Once it is applied, the state reflects every entry committed before it.
     Read,
-    /// Begin or end the evacuation of a failure domain.
+    /// Begins or ends the evacuation of a failure domain.
     Evacuate(EvacuationOrder),
-    /// Note crashes of upstreams and what ran there.
+    /// Records crashes of upstreams and the requests that ran there, and requests that were
+    /// answered.
     Crashes(Evidence),
 }
 
-/// An entry of the log: an order and the leader's clock when it was made.
+/// Payload of a log entry: an order and the leader's time when it was proposed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Milliseconds since 1970 at the leader.
+    /// Unix time in milliseconds, by the leader's clock.
     pub at: LogTime,
-    /// The order.
+    /// Operation to apply.
     pub order: Order,
 }
 
-/// What an order led to.
+/// Result of an applied order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Outcome of a configuration; `None` if it has to be prepared anew.
+    /// Outcome of a configuration; `None` if the change has to be prepared again from the newest
+    /// configuration.
     Config(Option<ApplyOutcome>),
     /// Outcome of a claim.
     Claim(ClaimOutcome),
@@ -47,52 +50,54 @@
     Settled,
     /// Everything committed before is applied.
     Read,
-    /// The evacuation is as ordered.
+    /// The evacuation is begun or ended, as ordered.
     Evacuated,
-    /// Crashes are noted.
+    /// The evidence is recorded.
     Noted,
 }
 
-/// All state of the control boxes.
+/// Replicated state of the control boxes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Configuration.
+    /// Configuration in force and the accepted numbers.
     pub config: ConfigState,
-    /// Claims.
+    /// Claims of requests.
     pub claims: ClaimTable,
-    /// The text of the configuration in force, if it came with one.
+    /// Text of the configuration in force, if it was submitted with one.
     #[serde(default)]
     pub document: Option<Document>,
-    /// Failure domains that get no new work.
+    /// Failure domains that receive no new work.
     #[serde(default)]
     pub evacuations: Evacuations,
-    /// Requests that crash upstreams.
+    /// Requests that crashed upstreams.
     #[serde(default)]
     pub quarantine: Ledger,
+    /// Time of the newest applied entry; it never goes back.
     now: LogTime,
 }
 
-/// The text that a configuration was made from.
+/// Text from which a configuration was parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The number of the configuration.
+    /// Number of the configuration.
     pub number: ConfigNumber,
-    /// The text as the operator sent it.
+    /// Text as the operator sent it.
     pub text: serde_bytes::ByteBuf,
 }
 
 impl Machine {
-    /// Creates the state before the first entry.
+    /// Creates the state that precedes the first log entry.
     pub fn new() -> Self {
         Self { claims: ClaimTable::new(ClaimsConfig::default()), ..Self::default() }
     }
 
-    /// Applies one committed entry. Time never goes back, whatever the leaders' clocks say.
+    /// Applies one committed entry. The time of the state machine never goes back, even if the
+    /// clock of a new leader is behind that of an earlier one.
     pub fn apply(&mut self, command: Command) -> Reply {
         self.now = self.now.max(command.at);
         self.quarantine.expire(self.now);
         match command.order {
-            Order::Config(change) => Reply::Config(self.change(change)),
+            Order::Config(change) => Reply::Config(self.apply_config(change)),
             Order::Claim(req) => Reply::Claim(self.claims.claim(&req, self.now)),
             Order::Settle(req) => {
                 self.claims.settle(&req, self.now);
@@ -110,11 +115,12 @@
         }
     }
 
-    fn change(&mut self, change: ConfigChange) -> Option<ApplyOutcome> {
-        let (before, number) = (self.config.number(), change.number);
+    /// Applies a configuration and keeps its document if the configuration came into force.
+    fn apply_config(&mut self, change: ConfigChange) -> Option<ApplyOutcome> {
+        let (previous, number) = (self.config.number(), change.number);
         let document = change.document.clone();
         let outcome = self.config.apply(change);
-        if self.config.number() > before {
+        if self.config.number() > previous {
             self.document = document.map(|text| Document { number, text });
         }
         outcome
--- a/crates/hatchpitch/src/control/mod.rs
+++ b/crates/hatchpitch/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control process: the state that must survive, and what operators change.
+//! The control process: the replicated state of the fleet, and the requests of operators that read
+//! and change it.
 
 pub mod boxes;
 pub mod context;
--- a/crates/hatchpitch/src/control/operators.rs
+++ b/crates/hatchpitch/src/control/operators.rs
@@ -1,4 +1,4 @@
-//! The control box's listener for operators.
+//! Requests of operators to a control box.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::context::{ControlCx, ProposeError};
-use super::daemon::BODY_LIMIT;
+use super::daemon::BODY_TIMEOUT;
 use super::evacuate::{EvacuateError, evacuate};
 use super::machine::Order;
 use super::quarantine;
@@ -24,34 +24,34 @@
 use crate::security::bearer;
 use crate::settings::diagnostic::Problem as FileProblem;
 
-/// What a control box tells operators about itself.
+/// Status of a control box, for operators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ControlStatus {
     /// Name of the box.
     pub name: BoxName,
-    /// Whether it leads.
+    /// Whether the box leads.
     pub leads: bool,
-    /// The leader, if it is known.
+    /// Name of the leader, if it is known.
     pub leader: Option<BoxName>,
-    /// Control boxes that count.
+    /// Control boxes that are voters.
     pub voters: Vec<BoxName>,
-    /// Control boxes that receive the log and do not count yet.
+    /// Control boxes that receive the log but do not vote yet.
     pub learners: Vec<BoxName>,
-    /// Newest accepted configuration number known here.
+    /// Newest accepted configuration number known to the box.
     pub config_number: ConfigNumber,
-    /// Digest of that configuration, in hexadecimal digits.
+    /// Digest of that configuration, in hexadecimal.
     pub config_digest: String,
-    /// Claims held.
+    /// Number of claims held.
     pub claims: usize,
     /// Evacuated failure domains.
     #[serde(default)]
     pub evacuated: Vec<FailureDomainName>,
 }
 
-/// The evacuations that hold.
+/// Evacuations in effect.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EvacuationList {
-    /// Position among all changes; boxes tell theirs.
+    /// Revision of the evacuations; it allows comparison with the revisions that boxes report.
     pub revision: Revision,
     /// Evacuated failure domains.
     pub domains: Vec<FailureDomainName>,
@@ -63,52 +63,57 @@
     }
 }
 
-/// Why a fleet file was not taken.
+/// Reasons why a fleet file was rejected.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FileProblems {
-    /// Everything wrong in it.
+    /// All problems found in the file.
     pub problems: Vec<FileProblem>,
 }
 
-/// What holds a number.
+/// The content that was accepted under a configuration number.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AcceptedAnswer {
-    /// The number.
+    /// Configuration number.
     pub number: ConfigNumber,
-    /// Digest of its content, in hexadecimal digits.
+    /// Digest of the content, in hexadecimal.
     pub content: String,
-    /// Who submitted it.
+    /// Operator who submitted it.
     pub by: String,
 }
 
-/// What a fleet file would change.
+/// Changes that a fleet file would make to the configuration in force.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DiffAnswer {
-    /// Number in force.
+    /// Configuration number in force.
     pub base: ConfigNumber,
     /// Entities that would be added.
     pub added: Vec<EntityKey>,
     /// Entities that would change.
     pub changed: Vec<EntityKey>,
-    /// Entities that would go.
+    /// Entities that would be removed.
     pub removed: Vec<EntityKey>,
 }
 
-/// Answers one request of an operator.
+/// Handles one request of an operator.
 pub async fn handle(cx: Rc<ControlCx>, req: Request<Incoming>) -> Response<Body> {
     match dispatch(&cx, req).await {
         Ok(res) => res,
         Err(problem) => {
-            log::info!("refused with {}: {}", problem.status, problem.message);
+            log::info!(
+                "request of an operator refused with {}: {}",
+                problem.status,
+                problem.message
+            );
             problem.into_response()
         }
     }
 }
 
+/// Authenticates a request and serves it by method and path; `/metrics` needs no key.
 async fn dispatch(cx: &Rc<ControlCx>, req: Request<Incoming>) -> Result<Response<Body>, Problem> {
     let path = req.uri().path().to_owned();
     if path == "/metrics" {
-        return Ok(metrics(cx));
+        return Ok(metrics_response(cx));
     }
     let operator = authenticate(cx, &req)?;
     match (req.method().clone(), path.as_str()) {
@@ -116,30 +121,30 @@
             Ok(json_response(StatusCode::OK, &status(cx), Outcome::Done))
         }
         (Method::GET, "/ops/accepted") => {
-            be_newest(cx).await?;
+            ensure_newest(cx).await?;
             accepted(cx, &req)
         }
         (Method::GET, "/ops/config") => {
-            be_newest(cx).await?;
+            ensure_newest(cx).await?;
             let entities: Vec<Entity> = cx.with_machine(|m| m.config.entities().cloned().collect());
             Ok(json_response(StatusCode::OK, &entities, Outcome::Done))
         }
-        (Method::POST, "/ops/config") => apply(cx, req, &operator).await,
+        (Method::POST, "/ops/config") => apply_config(cx, req, &operator).await,
         (Method::POST, "/ops/diff") => diff(cx, req).await,
         (Method::GET, "/ops/evacuations") => {
-            be_newest(cx).await?;
+            ensure_newest(cx).await?;
             let list = EvacuationList::from(&*cx.config.evacuations());
             Ok(json_response(StatusCode::OK, &list, Outcome::Done))
         }
         (Method::POST, "/ops/evacuations/begin") => {
-            order_evacuation(cx, &req, EvacuationOrder::Begin, &operator).await
+            change_evacuation(cx, &req, EvacuationOrder::Begin, &operator).await
         }
         (Method::POST, "/ops/evacuations/end") => {
-            order_evacuation(cx, &req, EvacuationOrder::End, &operator).await
+            change_evacuation(cx, &req, EvacuationOrder::End, &operator).await
         }
         (Method::GET, "/ops/quarantine") => {
-            be_newest(cx).await?;
-            Ok(quarantine::listed(cx))
+            ensure_newest(cx).await?;
+            Ok(quarantine::list_response(cx))
         }
         (Method::POST, "/ops/quarantine/release") => quarantine::release(cx, &req, &operator).await,
         (Method::POST, "/ops/repair") => repair(cx, req, &operator).await,
@@ -147,7 +152,8 @@
     }
 }
 
-fn metrics(cx: &ControlCx) -> Response<Body> {
+/// Updates the gauges and renders all metrics.
+fn metrics_response(cx: &ControlCx) -> Response<Body> {
     cx.metrics.process(&cx.boxes);
     cx.metrics.gauge("hatchpitch_config_number", cx.config.number() as f64);
     cx.metrics.gauge("hatchpitch_leads", if cx.leads() { 1.0 } else { 0.0 });
@@ -159,7 +165,7 @@
 }
 
 /// Begins or ends the evacuation of the failure domain that a request names.
-async fn order_evacuation(
+async fn change_evacuation(
     cx: &ControlCx,
     req: &Request<Incoming>,
     order: impl FnOnce(FailureDomainName) -> EvacuationOrder,
@@ -168,7 +174,7 @@
     let domain = query_value(req.uri(), "domain");
     let domain = domain.ok_or_else(|| Problem::bad_request("domain: missing"))?.to_owned();
     match evacuate(cx, order(domain), operator).await {
-        Ok(held) => Ok(json_response(StatusCode::OK, &EvacuationList::from(&*held), Outcome::Done)),
+        Ok(set) => Ok(json_response(StatusCode::OK, &EvacuationList::from(&*set), Outcome::Done)),
         Err(EvacuateError::Propose(err)) => Err(propose_problem(err)),
         Err(EvacuateError::UnknownDomain(domain)) => {
             let message = format!("no failure domain {domain:?} is known");
@@ -177,51 +183,54 @@
     }
 }
 
+/// Returns the name of the operator whose key the request carries. Operators in the settings take
+/// precedence over those in the configuration.
 fn authenticate(cx: &ControlCx, req: &Request<Incoming>) -> Result<String, Problem> {
     let key = bearer(req.headers()).unwrap_or("");
-    let first = cx.settings.operators.iter().find(|op| find_key(&op.keys, key).is_some());
-    let known = first.map(|op| op.name.clone());
+    let from_settings = cx.settings.operators.iter().find(|op| find_key(&op.keys, key).is_some());
+    let from_settings = from_settings.map(|op| op.name.clone());
     let view = cx.config.view();
-    known.or_else(|| view.operator_of_key(key).map(str::to_owned)).ok_or_else(|| {
+    from_settings.or_else(|| view.operator_of_key(key).map(str::to_owned)).ok_or_else(|| {
         let message = "Authorization: expected \"Bearer\" and a key of an operator";
         Problem::not_run(StatusCode::UNAUTHORIZED, "unknown_key", message)
     })
 }
 
-/// A submitted file that was not checked yet.
-struct FleetText {
+/// A submitted fleet file that is not validated yet.
+struct FleetFile {
     name: String,
     text: String,
 }
 
-/// Reads a submitted file.
-async fn fleet_text(req: Request<Incoming>) -> Result<FleetText, Problem> {
+/// Reads a submitted fleet file from the body of a request.
+async fn read_fleet_file(req: Request<Incoming>) -> Result<FleetFile, Problem> {
     let name = query_value(req.uri(), "file").unwrap_or("fleet").to_owned();
-    let body = read_body(req.into_body(), MAX_FLEET_FILE, BODY_LIMIT).await;
+    let body = read_body(req.into_body(), MAX_FLEET_FILE, BODY_TIMEOUT).await;
     let body = body.map_err(|err| Problem::bad_request(format!("fleet file: {err}")))?;
     let text = String::from_utf8(body.to_vec())
         .map_err(|err| Problem::bad_request(format!("fleet file: {err}")))?;
-    Ok(FleetText { name, text })
+    Ok(FleetFile { name, text })
 }
 
-/// Checks a file; one with problems is answered with all of them.
-fn check_fleet(file: &FleetText) -> Result<Fleet, Box<Response<Body>>> {
+/// Validates a fleet file. On failure, returns a response that lists all problems.
+fn check_fleet(file: &FleetFile) -> Result<Fleet, Box<Response<Body>>> {
     load_fleet(&file.name, &file.text).map_err(|problems| {
         let body = FileProblems { problems: problems.0 };
         Box::new(json_response(StatusCode::UNPROCESSABLE_ENTITY, &body, Outcome::NotRun))
     })
 }
 
-async fn apply(
+/// Validates a fleet file and submits it as the next configuration.
+async fn apply_config(
     cx: &Rc<ControlCx>,
     req: Request<Incoming>,
     operator: &str,
 ) -> Result<Response<Body>, Problem> {
-    let text = fleet_text(req).await?;
-    let _turn = cx.submitting.lock().await;
-    let fleet = match check_fleet(&text) {
+    let file = read_fleet_file(req).await?;
+    let _guard = cx.submitting.lock().await;
+    let fleet = match check_fleet(&file) {
         Ok(fleet) => fleet,
-        Err(refused) => return Ok(*refused),
+        Err(rejection) => return Ok(*rejection),
     };
     match submit(cx, &fleet, operator).await {
         Ok(outcome) => Ok(outcome_response(&outcome)),
@@ -241,6 +250,7 @@
     json_response(status, outcome, Outcome::Done)
 }
 
+/// Converts the failure of a proposal into the response to an operator.
 pub(super) fn propose_problem(err: ProposeError) -> Problem {
     match err {
         ProposeError::NotLeader(leader) => {
@@ -259,25 +269,26 @@
     }
 }
 
-/// Makes sure that the state here holds everything that was acknowledged before; only the leader
-/// can be.
-async fn be_newest(cx: &ControlCx) -> Result<(), Problem> {
+/// Waits until the applied state reflects every change that was acknowledged before; this succeeds
+/// only on the leader.
+async fn ensure_newest(cx: &ControlCx) -> Result<(), Problem> {
     cx.propose(Order::Read).await.map(|_| ()).map_err(propose_problem)
 }
 
+/// Returns the changes that a fleet file would make, without applying them.
 async fn diff(cx: &Rc<ControlCx>, req: Request<Incoming>) -> Result<Response<Body>, Problem> {
-    let fleet = match check_fleet(&fleet_text(req).await?) {
+    let fleet = match check_fleet(&read_fleet_file(req).await?) {
         Ok(fleet) => fleet,
-        Err(refused) => return Ok(*refused),
+        Err(rejection) => return Ok(*rejection),
     };
-    be_newest(cx).await?;
+    ensure_newest(cx).await?;
     let answer = cx.with_machine(|m| {
-        let have: std::collections::BTreeMap<EntityKey, &Entity> =
+        let current: std::collections::BTreeMap<EntityKey, &Entity> =
             m.config.entities().map(|e| (e.key(), e)).collect();
         let new = fleet.entities.iter();
-        let (known, added): (Vec<_>, Vec<_>) = new.partition(|(key, _)| have.contains_key(*key));
-        let changed = known.iter().filter(|(key, entity)| have[*key] != *entity);
-        let removed = have.keys().filter(|key| !fleet.entities.contains_key(*key));
+        let (known, added): (Vec<_>, Vec<_>) = new.partition(|(key, _)| current.contains_key(*key));
+        let changed = known.iter().filter(|(key, entity)| current[*key] != *entity);
+        let removed = current.keys().filter(|key| !fleet.entities.contains_key(*key));
         DiffAnswer {
             base: m.config.number(),
             added: added.iter().map(|(key, _)| (*key).clone()).collect(),
@@ -288,12 +299,12 @@
     Ok(json_response(StatusCode::OK, &answer, Outcome::Done))
 }
 
-/// Tells which content holds a number, as far as this box knows.
+/// Returns the content that was accepted under a configuration number.
 fn accepted(cx: &ControlCx, req: &Request<Incoming>) -> Result<Response<Body>, Problem> {
     let number = query_value(req.uri(), "number");
     let number = number.and_then(|number| number.parse::<ConfigNumber>().ok());
     let number = number.ok_or_else(|| Problem::bad_request("number: expected a number"))?;
-    let held = cx.with_machine(|m| {
+    let answer = cx.with_machine(|m| {
         let (content, by) = m.config.accepted_under(number)?;
         Some(AcceptedAnswer { number, content: to_hex(&content), by: by.to_owned() })
     });
@@ -301,10 +312,11 @@
         let message = format!("number {number} was not accepted, or too long ago");
         Problem::not_run(StatusCode::NOT_FOUND, "unknown_number", message)
     };
-    let held = held.ok_or_else(unknown)?;
-    Ok(json_response(StatusCode::OK, &held, Outcome::Done))
+    let answer = answer.ok_or_else(unknown)?;
+    Ok(json_response(StatusCode::OK, &answer, Outcome::Done))
 }
 
+/// Replaces the replica of the control box that the request names.
 async fn repair(
     cx: &Rc<ControlCx>,
     req: Request<Incoming>,
--- a/crates/hatchpitch/src/control/quarantine.rs
+++ b/crates/hatchpitch/src/control/quarantine.rs
@@ -1,4 +1,4 @@
-//! What operators see of held requests, and how they let one go.
+//! Requests of operators that list and release held requests.
 
 use hatchpitch_net::{Body, query_value};
 use http::{Request, Response, StatusCode};
@@ -12,38 +12,39 @@
 use crate::outcome::{Outcome, Problem, json_response};
 use crate::quarantine::{ContentId, Evidence};
 
-/// A request that is refused at every box.
+/// A held request: every box refuses requests with its content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldContent {
-    /// Name of its content, as in the lines of its sends.
+    /// Identifier of the content, as in the log lines of the requests.
     pub content: String,
-    /// Seconds left of its term.
+    /// Seconds until the hold expires.
     pub left_s: u64,
 }
 
-/// Lists the held requests.
+/// Returns the held requests.
 pub fn list(cx: &ControlCx) -> Vec<HeldContent> {
     let now = unix_ms();
     cx.with_machine(|machine| {
         let held = machine.quarantine.list().held.iter();
-        let held = held.map(|(content, until)| HeldContent {
+        let held = held.map(|(content, expires_at)| HeldContent {
             content: content.to_string(),
-            left_s: until.saturating_sub(now).div_ceil(1_000),
+            left_s: expires_at.saturating_sub(now).div_ceil(1_000),
         });
         held.collect()
     })
 }
 
-/// Answers with the held requests.
-pub fn listed(cx: &ControlCx) -> Response<Body> {
+/// Returns the response that lists the held requests.
+pub fn list_response(cx: &ControlCx) -> Response<Body> {
     json_response(StatusCode::OK, &list(cx), Outcome::Done)
 }
 
-/// Lets the content that a request names go, as an answer to it would, and answers with the list.
+/// Releases the content that the request names and returns the remaining list. The order records
+/// the content as answered, which has the same effect as an answer from an upstream.
 ///
 /// # Errors
 ///
-/// Returns a problem if it names none, or if the log did not take the order here.
+/// Returns a problem if the request names no valid content, or if the order could not be proposed.
 pub async fn release(
     cx: &ControlCx,
     req: &Request<Incoming>,
@@ -53,8 +54,8 @@
     let content = ContentId::try_from(named)
         .map_err(|err| Problem::bad_request(format!("content: found {named:?}, expected {err}")))?;
     let evidence = Evidence { answered: [content].into(), ..Evidence::default() };
-    let ordered: Result<_, ProposeError> = cx.propose(Order::Crashes(evidence)).await;
-    ordered.map_err(propose_problem)?;
+    let proposed: Result<_, ProposeError> = cx.propose(Order::Crashes(evidence)).await;
+    proposed.map_err(propose_problem)?;
     log::info!(operator = operator, content:% = content; "held request let go");
-    Ok(listed(cx))
+    Ok(list_response(cx))
 }
--- a/crates/hatchpitch/src/control/registrations.rs
+++ b/crates/hatchpitch/src/control/registrations.rs
@@ -1,4 +1,4 @@
-//! Takes the announcements of upstreams in, and says when they hold.
+//! Records announcements of upstreams and acknowledges them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,33 +9,33 @@
 use crate::registry::peers;
 use crate::registry::{Announced, Phase, RegistryNews, UpstreamRecord};
 
-/// Upstreams that one message tells a new control box of: some 100 KB by field names, which a link
-/// of 10 Mbit/s passes in a fifth of the time for it.
-const INTRODUCED_AT_ONCE: usize = 512;
+/// Maximum number of upstreams in one message to a new control box. Encoded with field names, they
+/// take about 100 KB, which a link of 10 Mbit/s transfers in a fifth of the time limit.
+const RECORDS_PER_MESSAGE: usize = 512;
 
 /// Why an announcement is not acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unacknowledged {
-    /// Too few control boxes hold it.
+    /// Less than a majority of the control boxes acknowledged it.
     NotHeld,
-    /// The configuration in force has no such service, so it names no upstream to use. Nothing is
-    /// noted: it may come from another writer, and must not end who lives at its address.
+    /// The configuration in force has no such service. The announcement is not recorded: it may
+    /// come from another writer, and must not end the life of the upstream at the same address.
     UnknownService,
 }
 
-/// Takes an announcement in. That an upstream leaves is held by a majority of the control boxes
-/// when this returns, and entry boxes hear of it from several of them, so it comes into force
-/// although this box may be lost at once.
+/// Records an announcement. If the upstream is leaving, a majority of the control boxes holds the
+/// announcement when this returns. Entry boxes learn of it from several of them, so it takes effect
+/// even if this box fails immediately afterwards.
 ///
 /// # Errors
 ///
-/// Returns why it is not acknowledged; the upstream should announce itself again.
+/// Returns why the announcement is not acknowledged; the upstream should repeat it.
 pub async fn announce(cx: &Rc<ControlCx>, record: UpstreamRecord) -> Result<(), Unacknowledged> {
     if !knows_service(cx, &record.service) {
         return Err(Unacknowledged::UnknownService);
     }
     let announced = cx.registry.change(|table| table.announce_here(record.clone(), clock::now()));
-    let leaves = record.phase == Phase::Leaving;
+    let is_leaving = record.phase == Phase::Leaving;
     if announced == Announced::News {
         log::info!(
             "upstream {} of {} at {}: {:?}, sequence {}, warm in {} ms",
@@ -47,39 +47,41 @@
             record.warm_in.as_millis()
         );
     }
-    if announced != Announced::News && !leaves {
+    if announced != Announced::News && !is_leaving {
         return Ok(());
     }
     let news = RegistryNews { records: vec![record], ..RegistryNews::default() };
-    hold(cx, news, leaves).await
+    replicate(cx, news, is_leaving).await
 }
 
-/// Ends the life of an upstream that goes by `id`, as [`announce`] does for one that leaves.
+/// Ends the life of the upstream `id`. As in [`announce`] for a leaving upstream, a majority of the
+/// control boxes holds the end when this returns.
 ///
 /// # Errors
 ///
-/// Returns [`Unacknowledged::NotHeld`] as [`announce`] does.
+/// Returns [`Unacknowledged::NotHeld`] if less than a majority of the control boxes acknowledged
+/// it.
 pub async fn end(cx: &Rc<ControlCx>, id: &str) -> Result<(), Unacknowledged> {
     let ended = cx.registry.change(|table| table.end_id(id, clock::now()));
     for life in &ended {
         log::info!("upstream {life}: its life ended");
     }
-    // An end that is asked for again has to be held as well before it is acknowledged.
+    // A repeated request is acknowledged only once a majority holds the end as well.
     let lives =
         if ended.is_empty() { cx.registry.with(|table| table.ended_lives(id)) } else { ended };
-    hold(cx, RegistryNews::of_ends(lives), true).await
+    replicate(cx, RegistryNews::of_ends(lives), true).await
 }
 
-/// Tells a control box whose table is new of all upstreams that are known here. Without this, one
-/// that starts after the others misses what upstreams announced to them until their next
+/// Sends all known upstreams to a control box whose table is new. Otherwise, a control box that
+/// starts after the others lacks the upstreams that announced themselves to them until their next
 /// heartbeat, 1.2 s later.
-pub fn introduce(cx: &Rc<ControlCx>, peer: SocketAddr) {
+pub fn send_known_upstreams(cx: &Rc<ControlCx>, peer: SocketAddr) {
     let records = cx.registry.with(|table| table.records(clock::now()));
     let cx = cx.clone();
     compio::runtime::spawn(async move {
-        for part in records.chunks(INTRODUCED_AT_ONCE) {
+        for part in records.chunks(RECORDS_PER_MESSAGE) {
             let news = RegistryNews { records: part.to_vec(), ..RegistryNews::default() };
-            if !peers::send(&cx.boxes, peer, &cx.signed_news(news)).await {
+            if !peers::send(&cx.boxes, peer, &cx.complete_news(news)).await {
                 return;
             }
         }
@@ -87,18 +89,25 @@
     .detach();
 }
 
-/// Returns whether the configuration in force has a service; before the first one, all may come.
+/// Returns whether the configuration in force has a service. Before the first configuration, every
+/// service is accepted.
 fn knows_service(cx: &ControlCx, service: &str) -> bool {
     let view = cx.config.view();
     view.number == 0 || view.hosted_services.contains_key(service)
 }
 
-async fn hold(cx: &Rc<ControlCx>, news: RegistryNews, needed: bool) -> Result<(), Unacknowledged> {
-    let wanted = if needed { cx.core_addrs().len() / 2 } else { 0 };
+/// Sends news to the other control boxes. If `needs_majority`, waits until a majority of the
+/// control boxes, this one included, holds them.
+async fn replicate(
+    cx: &Rc<ControlCx>,
+    news: RegistryNews,
+    needs_majority: bool,
+) -> Result<(), Unacknowledged> {
+    let needed_acks = if needs_majority { cx.core_addrs().len() / 2 } else { 0 };
     let upstreams = cx.registry.with(|table| table.len());
-    let held = cx.outbox.pass_on(&cx.registry_peers(), news, wanted, upstreams).await;
-    if !held {
-        log::warn!("news about upstreams is not held by a majority of the control boxes");
+    let acknowledged = cx.outbox.pass_on(&cx.registry_peers(), news, needed_acks, upstreams).await;
+    if !acknowledged {
+        log::warn!("too few control boxes acknowledged news about upstreams");
     }
-    held.then_some(()).ok_or(Unacknowledged::NotHeld)
+    acknowledged.then_some(()).ok_or(Unacknowledged::NotHeld)
 }
--- a/crates/hatchpitch/src/control/repair.rs
+++ b/crates/hatchpitch/src/control/repair.rs
@@ -1,9 +1,10 @@
 //! Replaces a control box that lost its disk.
 //!
-//! The new replica is let in as a learner, promoted once it holds everything,
-//! and the lost one is removed. Done is said only when the new replica holds
-//! every committed entry durably, counts, and the last change is committed: a
-//! second loss right then costs nothing.
+//! The new replica is added as a learner, promoted once it holds the whole log,
+//! and the lost replica is removed. Success is reported only when the new
+//! replica is a voter that durably holds every committed entry and the last
+//! membership change is committed, so that losing another replica immediately
+//! afterwards loses no data.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,27 +19,28 @@
 use crate::replication::task::ReplicaHandle;
 use crate::replication::{Members, NodeId, Peer};
 
-const POLL: Duration = Duration::from_millis(20);
-/// Time for each step of a repair.
+/// Interval between checks whether a step is complete.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time limit for each step of a repair.
 const STEP_LIMIT: Duration = Duration::from_secs(20);
 
-/// What a repair led to.
+/// Result of a repair.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repaired {
-    /// The box.
+    /// Name of the repaired box.
     pub name: BoxName,
-    /// Identity of its new disk.
+    /// Identity of the replica on its new disk.
     pub id: NodeId,
-    /// Names of the boxes that now count.
+    /// Names of the boxes that are voters after the repair.
     pub voters: Vec<BoxName>,
 }
 
-/// Why a repair is not done.
+/// Why a repair could not be completed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RepairError {
     /// The step that failed.
     pub step: &'static str,
-    /// Why.
+    /// Cause of the failure.
     pub cause: String,
 }
 
@@ -50,11 +52,11 @@
 
 impl std::error::Error for RepairError {}
 
-/// Replaces the replica of box `name`. Asking again goes on where an earlier try ended.
+/// Replaces the replica of box `name`. A repeated call continues where an earlier one failed.
 ///
 /// # Errors
 ///
-/// Returns the step that failed; what was done until then stays and does no harm.
+/// Returns the step that failed. Completed steps are kept; they leave the group in a valid state.
 pub async fn replace(cx: &Rc<ControlCx>, name: &str) -> Result<Repaired, RepairError> {
     let fail = |step, cause: &dyn std::fmt::Display| RepairError { step, cause: cause.to_string() };
     let log = cx.log().ok_or_else(|| fail("begin", &"the log has not begun"))?;
@@ -67,16 +69,16 @@
     let id = hello.id;
     if log.with(|replica| replica.members().get(id).is_none()) {
         let peer = Peer { name: name.to_owned(), ..peer };
-        step(log, "add", &MemberChange::AddLearner(id, peer)).await?;
+        change_members(log, "add", &MemberChange::AddLearner(id, peer)).await?;
     }
-    wait(log, "catch up", |log| log.with(|replica| replica.lacks(id)) == Some(0)).await?;
+    wait_until(log, "catch up", |log| log.with(|replica| replica.lacks(id)) == Some(0)).await?;
     if log.with(|replica| replica.members().learners.contains_key(&id)) {
-        step(log, "promote", &MemberChange::Promote(id)).await?;
+        change_members(log, "promote", &MemberChange::Promote(id)).await?;
     }
-    for old in others_named(&log.with(|replica| replica.members().clone()), name, id) {
-        step(log, "remove", &MemberChange::Remove(old)).await?;
+    for replaced in other_replicas_of(&log.with(|replica| replica.members().clone()), name, id) {
+        change_members(log, "remove", &MemberChange::Remove(replaced)).await?;
     }
-    wait(log, "confirm", |log| {
+    wait_until(log, "confirm", |log| {
         log.with(|replica| replica.members_committed() && replica.lacks(id) == Some(0))
     })
     .await?;
@@ -85,21 +87,23 @@
     Ok(Repaired { name: name.to_owned(), id, voters })
 }
 
+/// Returns the peer called `name` among the members, or else among the peers in the settings.
 fn find_peer(cx: &ControlCx, log: &ReplicaHandle, name: &str) -> Option<Peer> {
     let members = log.with(|replica| replica.members().clone());
     let member = members.all().find(|(_, peer)| peer.name == name).map(|(_, peer)| peer.clone());
-    let settings = || cx.settings.peers.iter().find(|peer| peer.name == name);
-    member.or_else(|| settings().map(bootstrap::as_peer))
+    let from_settings = || cx.settings.peers.iter().find(|peer| peer.name == name);
+    member.or_else(|| from_settings().map(bootstrap::as_peer))
 }
 
-/// Returns the other replicas of a box: those whose disks it lost.
-pub(super) fn others_named(members: &Members, name: &str, keep: NodeId) -> Vec<NodeId> {
+/// Returns the replicas of box `name` other than `keep`: those on disks that the box lost.
+pub(super) fn other_replicas_of(members: &Members, name: &str, keep: NodeId) -> Vec<NodeId> {
     let named = members.all().filter(|(id, peer)| peer.name == name && *id != keep);
     named.map(|(id, _)| id).collect()
 }
 
-/// Begins a change, as soon as the one before is committed, and waits until it is committed.
-pub(super) async fn step(
+/// Performs a membership change and waits until it is committed. While another change is in
+/// progress or the replica is behind, the change is retried.
+pub(super) async fn change_members(
     log: &ReplicaHandle,
     step: &'static str,
     change: &MemberChange,
@@ -109,15 +113,16 @@
         match log.change(change.clone()).await {
             Ok(()) => break,
             Err(ChangeError::Busy | ChangeError::Behind) if clock::since(started) < STEP_LIMIT => {
-                compio::time::sleep(POLL).await;
+                compio::time::sleep(POLL_INTERVAL).await;
             }
             Err(err) => return Err(RepairError { step, cause: err.to_string() }),
         }
     }
-    wait(log, step, |log| log.with(|replica| replica.members_committed())).await
+    wait_until(log, step, |log| log.with(|replica| replica.members_committed())).await
 }
 
-pub(super) async fn wait(
+/// Polls until `done` returns true. Fails if this box loses leadership or the time limit passes.
+pub(super) async fn wait_until(
     log: &ReplicaHandle,
     step: &'static str,
     done: impl Fn(&ReplicaHandle) -> bool,
@@ -131,7 +136,7 @@
             let cause = format!("not done within {STEP_LIMIT:?}");
             return Err(RepairError { step, cause });
         }
-        compio::time::sleep(POLL).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/hatchpitch/src/control/submit.rs
+++ b/crates/hatchpitch/src/control/submit.rs
@@ -1,18 +1,18 @@
-//! Has a configuration accepted by the replicated log, and reads back what was accepted.
+//! Submits configurations to the replicated log and reads the newest accepted one.
 
 use super::context::{ControlCx, ProposeError};
 use super::machine::{Document, Order, Reply};
 use crate::config::{ApplyOutcome, Fleet};
 
-/// Times that a change is prepared anew when others come between.
-const PREPARE_TRIES: usize = 8;
+/// Maximum number of times that a change is prepared when other changes are accepted meanwhile.
+const MAX_PREPARE_ATTEMPTS: usize = 8;
 
-/// Why a submitted configuration has no outcome.
+/// Why submitting a configuration gave no outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitError {
-    /// The log did not carry it out here.
+    /// Proposing the change to the replicated log failed.
     Propose(ProposeError),
-    /// Other changes came between each time.
+    /// Other changes were accepted between preparation and application at each attempt.
     Busy,
 }
 
@@ -22,24 +22,27 @@
     }
 }
 
-/// Puts a checked configuration in force, or tells what holds its number.
+/// Puts a validated configuration in force, or returns the content that was accepted under its
+/// number or the newer number that makes it stale.
 ///
 /// # Errors
 ///
-/// Returns a [`SubmitError`]; the same configuration may then be submitted again anywhere.
+/// Returns a [`SubmitError`]; the same configuration may then be submitted again at any control
+/// box.
 pub async fn submit(cx: &ControlCx, fleet: &Fleet, by: &str) -> Result<ApplyOutcome, SubmitError> {
-    for _ in 0..PREPARE_TRIES {
+    for _ in 0..MAX_PREPARE_ATTEMPTS {
         let prepared = cx.with_machine(|m| m.config.prepare(fleet, by));
         let order = match prepared {
             Ok(change) => Order::Config(change),
-            // Only the leader may say that a number is taken or stale.
+            // Only the newest state shows for certain that a number is taken or stale, so it is
+            // read through the log before the conflict is reported.
             Err(_) => Order::Read,
         };
         match cx.propose(order).await? {
             Reply::Config(Some(outcome)) => return Ok(outcome),
             Reply::Read => {
-                let settled = cx.with_machine(|m| m.config.prepare(fleet, by)).err();
-                if let Some(outcome) = settled {
+                let conflict = cx.with_machine(|m| m.config.prepare(fleet, by)).err();
+                if let Some(outcome) = conflict {
                     return Ok(outcome);
                 }
             }
@@ -49,11 +52,11 @@
     Err(SubmitError::Busy)
 }
 
-/// Reads the text of the newest accepted configuration; `None` before the first one.
+/// Returns the text of the configuration in force; `None` before the first one or if it has none.
 ///
 /// # Errors
 ///
-/// Returns a [`ProposeError`] if this box cannot be sure of the newest.
+/// Returns a [`ProposeError`] if this box cannot confirm that its state is the newest.
 pub async fn newest_document(cx: &ControlCx) -> Result<Option<Document>, ProposeError> {
     cx.propose(Order::Read).await?;
     Ok(cx.with_machine(|m| m.document.clone()))
