--- a/crates/hatchpitch/src/control/context.rs
+++ b/crates/hatchpitch/src/control/context.rs
@@ -68,7 +68,7 @@
     pub changing_members: Cell<bool>,
     /// Held while a configuration is decoded and submitted. Decoding takes several times the size
     /// of a configuration in memory, so configurations are processed one at a time.
-    pub submitting: Mutex<()>,
+    pub submit_lock: Mutex<()>,
     /// Table of the upstreams that announced themselves.
     pub registry: Rc<RegistryCell>,
     /// News about upstreams that are queued for the other control boxes.
@@ -98,7 +98,7 @@
             boxes,
             contacted_by_leader: Cell::new(false),
             changing_members: Cell::new(false),
-            submitting: Mutex::new(()),
+            submit_lock: Mutex::new(()),
             registry: Rc::new(RegistryCell::new(rand::random())),
             outbox: Rc::default(),
             log_parts: RefCell::default(),
@@ -299,7 +299,7 @@
 
     /// Returns whether the refusal of an announcement of `id` is to be logged. Refused
     /// announcements are sent again each second, so refusals are logged at a limited rate.
-    pub fn is_new_refusal(&self, id: &str) -> bool {
+    pub fn should_log_refusal(&self, id: &str) -> bool {
         let now = clock::now();
         let mut refused = self.refused_ids.borrow_mut();
         refused.retain(|_, at| now.duration_since(*at) < REFUSAL_LOG_INTERVAL);
--- a/crates/hatchpitch/src/control/daemon.rs
+++ b/crates/hatchpitch/src/control/daemon.rs
@@ -186,7 +186,7 @@
             log::info!(next = next.name.as_str(), took_ms = took_ms; "the lead was handed over");
         }
         None => {
-            log::warn!(took_ms = took_ms; "no control box has taken the lead yet after the hand-over")
+            log::warn!(took_ms = took_ms; "no control box has taken over the lead yet")
         }
     }
 }
--- a/crates/hatchpitch/src/control/join.rs
+++ b/crates/hatchpitch/src/control/join.rs
@@ -142,7 +142,9 @@
         if log.with(|replica| replica.leader().is_some()) {
             leader_seen = clock::now();
         }
-        if log.with(|replica| asks(replica.members(), cx.id, clock::since(leader_seen))) {
+        if log.with(|replica| {
+            should_request_join(replica.members(), cx.id, clock::since(leader_seen))
+        }) {
             request_join(&cx).await;
         }
     }
@@ -151,7 +153,7 @@
 /// Returns whether a box asks to join: while it is not a voter, and when it has known no leader for
 /// so long that it may have been removed. A learner asks as well: the leader that added it may have
 /// lost leadership before it promoted it, and no other leader would promote it unasked.
-pub fn asks(members: &Members, own: NodeId, without_leader: Duration) -> bool {
+pub fn should_request_join(members: &Members, own: NodeId, without_leader: Duration) -> bool {
     !members.voters.contains_key(&own) || without_leader > LEADERLESS_TIMEOUT
 }
 
--- a/crates/hatchpitch/src/control/operators.rs
+++ b/crates/hatchpitch/src/control/operators.rs
@@ -227,7 +227,7 @@
     operator: &str,
 ) -> Result<Response<Body>, Problem> {
     let file = read_fleet_file(req).await?;
-    let _guard = cx.submitting.lock().await;
+    let _guard = cx.submit_lock.lock().await;
     let fleet = match check_fleet(&file) {
         Ok(fleet) => fleet,
         Err(rejection) => return Ok(*rejection),
--- a/crates/hatchpitch/src/control/registrations.rs
+++ b/crates/hatchpitch/src/control/registrations.rs
@@ -15,9 +15,9 @@
 
 /// Why an announcement is not acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unacknowledged {
-    /// Less than a majority of the control boxes acknowledged it.
-    NotHeld,
+pub enum AnnounceError {
+    /// Fewer than a majority of the control boxes acknowledged it.
+    NoMajority,
     /// The configuration in force has no such service. The announcement is not recorded: it may
     /// come from another writer, and must not end the life of the upstream at the same address.
     UnknownService,
@@ -30,9 +30,9 @@
 /// # Errors
 ///
 /// Returns why the announcement is not acknowledged; the upstream should repeat it.
-pub async fn announce(cx: &Rc<ControlCx>, record: UpstreamRecord) -> Result<(), Unacknowledged> {
+pub async fn announce(cx: &Rc<ControlCx>, record: UpstreamRecord) -> Result<(), AnnounceError> {
     if !knows_service(cx, &record.service) {
-        return Err(Unacknowledged::UnknownService);
+        return Err(AnnounceError::UnknownService);
     }
     let announced = cx.registry.change(|table| table.announce_here(record.clone(), clock::now()));
     let is_leaving = record.phase == Phase::Leaving;
@@ -59,9 +59,9 @@
 ///
 /// # Errors
 ///
-/// Returns [`Unacknowledged::NotHeld`] if less than a majority of the control boxes acknowledged
+/// Returns [`AnnounceError::NoMajority`] if fewer than a majority of the control boxes acknowledged
 /// it.
-pub async fn end(cx: &Rc<ControlCx>, id: &str) -> Result<(), Unacknowledged> {
+pub async fn end_life(cx: &Rc<ControlCx>, id: &str) -> Result<(), AnnounceError> {
     let ended = cx.registry.change(|table| table.end_id(id, clock::now()));
     for life in &ended {
         log::info!("upstream {life}: its life ended");
@@ -102,12 +102,12 @@
     cx: &Rc<ControlCx>,
     news: RegistryNews,
     needs_majority: bool,
-) -> Result<(), Unacknowledged> {
+) -> Result<(), AnnounceError> {
     let needed_acks = if needs_majority { cx.core_addrs().len() / 2 } else { 0 };
     let upstreams = cx.registry.with(|table| table.len());
     let acknowledged = cx.outbox.pass_on(&cx.registry_peers(), news, needed_acks, upstreams).await;
     if !acknowledged {
         log::warn!("too few control boxes acknowledged news about upstreams");
     }
-    acknowledged.then_some(()).ok_or(Unacknowledged::NotHeld)
+    acknowledged.then_some(()).ok_or(AnnounceError::NoMajority)
 }
