--- a/crates/hatchpitch/src/control/boxes.rs
+++ b/crates/hatchpitch/src/control/boxes.rs
@@ -26,8 +26,8 @@
 use crate::registry::{FollowRequest, RegistryNews};
 use crate::replication::bootstrap::{HELLO_PATH, Hello};
 use crate::replication::messages::{Envelope, LogBatch};
-use crate::replication::restart::answer_for_former;
-use crate::replication::task::{LOG_PATH, SEND_LIMIT};
+use crate::replication::restart::answer_for_former_identity;
+use crate::replication::task::{LOG_PATH, SEND_TIMEOUT};
 use crate::replication::transfer::{LogPart, PART_PATH};
 
 type HandlerResult = Result<Response<Body>, Box<Response<Body>>>;
@@ -136,7 +136,7 @@
     fn receive_batch(&self, batch: LogBatch) {
         let own = self.cx.id;
         for envelope in batch.envelopes.iter().filter(|e| e.to != own) {
-            if let Some(answer) = answer_for_former(envelope) {
+            if let Some(answer) = answer_for_former_identity(envelope) {
                 self.send_log(batch.reply_to, answer);
             }
         }
@@ -157,7 +157,7 @@
         let (client, reply_to) = (self.cx.boxes.clone(), self.cx.settings.own.boxes_addr);
         let batch = LogBatch { reply_to, envelopes: vec![envelope] };
         compio::runtime::spawn(async move {
-            if let Err(err) = client.call::<_, ()>(to, LOG_PATH, &batch, SEND_LIMIT).await {
+            if let Err(err) = client.call::<_, ()>(to, LOG_PATH, &batch, SEND_TIMEOUT).await {
                 log::debug!("failed to send the reply for a former identity of this box: {err}");
             }
         })
--- a/crates/hatchpitch/src/control/context.rs
+++ b/crates/hatchpitch/src/control/context.rs
@@ -19,7 +19,7 @@
 use crate::registry::{RegistryCell, RegistryNews, Table};
 use crate::replication::bootstrap::Hello;
 use crate::replication::task::{Applier, ProposeFailure, ReplicaHandle};
-use crate::replication::transfer::Assembly;
+use crate::replication::transfer::Reassembler;
 use crate::replication::{Members, NodeId, Peer};
 use crate::settings::ControlSettings;
 
@@ -74,7 +74,7 @@
     /// News about upstreams that are queued for the other control boxes.
     pub outbox: Rc<Outbox>,
     /// Replication messages of which parts are still missing.
-    pub log_parts: RefCell<Assembly>,
+    pub log_parts: RefCell<Reassembler>,
     /// Newest introduction of a member of the replication group; set only on a box without a disk.
     core_hello: RefCell<Option<Hello>>,
     /// Other control boxes by address, as learned from news about upstreams.
--- a/crates/hatchpitch/src/control/daemon.rs
+++ b/crates/hatchpitch/src/control/daemon.rs
@@ -12,14 +12,14 @@
 use super::context::ControlCx;
 use super::machine::Order;
 use super::{boxes, join, operators};
+use crate::backlog_monitor;
 use crate::commands::task as commands;
 use crate::config::feed;
 use crate::essential::spawn_essential;
 use crate::listener::{self, ExtraListener, bound_at};
 use crate::logging::unix_ms;
-use crate::pressure;
 use crate::registry::peers;
-use crate::replication::bootstrap::Begun;
+use crate::replication::bootstrap::BootstrapOutcome;
 use crate::replication::disk::Disk;
 use crate::replication::{NodeId, Storage, bootstrap, task};
 use crate::settings::ControlSettings;
@@ -113,7 +113,7 @@
     if cx.settings.data_folder.is_some() {
         spawn_essential("members", join::run(cx.clone(), stop.clone()));
     }
-    spawn_essential("pressure", pressure::run(cx.boxes.clone(), stop.clone()));
+    spawn_essential("pressure", backlog_monitor::run(cx.boxes.clone(), stop.clone()));
     let leader_cx = cx.clone();
     let has_no_leader = move || leader_cx.has_no_leader();
     let renewal = peers::run(cx.registry.clone(), cx.registry_peers(), has_no_leader, stop.clone());
@@ -123,13 +123,13 @@
 /// Starts the replica of the log, then confirms the configuration for as long as the process runs.
 async fn run_log(cx: &Rc<ControlCx>, disk: Disk, stop: Stop) -> anyhow::Result<()> {
     if !Storage::has_log(&disk)? {
-        let begun = match cx.settings.bootstrap {
+        let outcome = match cx.settings.bootstrap {
             true => bootstrap::bootstrap(&disk, &cx.hello(), &cx.settings.peers, &cx.boxes).await?,
-            false => Begun::Elsewhere,
+            false => BootstrapOutcome::NotMember,
         };
-        if begun == Begun::Elsewhere {
+        if outcome == BootstrapOutcome::NotMember {
             log::info!("no log on this disk; asking to join the running replication group");
-            wait_until_invited(cx, &disk).await?;
+            wait_for_leader_contact(cx, &disk).await?;
         }
     }
     let own_addr = cx.settings.own.boxes_addr;
@@ -222,7 +222,7 @@
 
 /// Waits until the leader that adds this box to the group has sent a first message, then creates an
 /// empty log.
-async fn wait_until_invited(cx: &ControlCx, disk: &Disk) -> anyhow::Result<()> {
+async fn wait_for_leader_contact(cx: &ControlCx, disk: &Disk) -> anyhow::Result<()> {
     loop {
         if cx.contacted_by_leader.get() {
             // The members arrive with the log; until then this box is not one of them.
--- a/crates/hatchpitch/src/control/join.rs
+++ b/crates/hatchpitch/src/control/join.rs
@@ -17,7 +17,7 @@
 use super::context::ControlCx;
 use super::repair::{self, RepairError};
 use crate::replication::bootstrap::as_peer;
-use crate::replication::change::MemberChange;
+use crate::replication::membership::MemberChange;
 use crate::replication::task::ReplicaHandle;
 use crate::replication::{Members, NodeId, Peer};
 
@@ -89,8 +89,10 @@
         let change = MemberChange::AddLearner(req.id, req.peer.clone());
         repair::change_members(log, "add", &change).await?;
     }
-    repair::wait_until(log, "catch up", |log| log.with(|replica| replica.lacks(req.id)) == Some(0))
-        .await?;
+    repair::wait_until(log, "catch up", |log| {
+        log.with(|replica| replica.replication_lag(req.id)) == Some(0)
+    })
+    .await?;
     repair::change_members(log, "promote", &MemberChange::Promote(req.id)).await?;
     for old in repair::other_replicas_of(&members(), &req.peer.name, req.id) {
         repair::change_members(log, "remove", &MemberChange::Remove(old)).await?;
--- a/crates/hatchpitch/src/control/repair.rs
+++ b/crates/hatchpitch/src/control/repair.rs
@@ -15,7 +15,7 @@
 use super::context::ControlCx;
 use crate::ids::BoxName;
 use crate::replication::bootstrap;
-use crate::replication::change::{ChangeError, MemberChange};
+use crate::replication::membership::{ChangeError, MemberChange};
 use crate::replication::task::ReplicaHandle;
 use crate::replication::{Members, NodeId, Peer};
 
@@ -71,7 +71,8 @@
         let peer = Peer { name: name.to_owned(), ..peer };
         change_members(log, "add", &MemberChange::AddLearner(id, peer)).await?;
     }
-    wait_until(log, "catch up", |log| log.with(|replica| replica.lacks(id)) == Some(0)).await?;
+    wait_until(log, "catch up", |log| log.with(|replica| replica.replication_lag(id)) == Some(0))
+        .await?;
     if log.with(|replica| replica.members().learners.contains_key(&id)) {
         change_members(log, "promote", &MemberChange::Promote(id)).await?;
     }
@@ -79,7 +80,7 @@
         change_members(log, "remove", &MemberChange::Remove(replaced)).await?;
     }
     wait_until(log, "confirm", |log| {
-        log.with(|replica| replica.members_committed() && replica.lacks(id) == Some(0))
+        log.with(|replica| replica.members_committed() && replica.replication_lag(id) == Some(0))
     })
     .await?;
     let voters = log.with(|replica| replica.members().voters.clone());
@@ -110,7 +111,7 @@
 ) -> Result<(), RepairError> {
     let started = clock::now();
     loop {
-        match log.change(change.clone()).await {
+        match log.change_members(change.clone()).await {
             Ok(()) => break,
             Err(ChangeError::Busy | ChangeError::Behind) if clock::since(started) < STEP_LIMIT => {
                 compio::time::sleep(POLL_INTERVAL).await;
--- a/crates/hatchpitch/src/lib.rs
+++ b/crates/hatchpitch/src/lib.rs
@@ -6,6 +6,7 @@
 //! `hatchpitch-entry` and `hatchpitch-control` only wire duties together.
 
 pub mod admission;
+pub mod backlog_monitor;
 pub mod claims;
 pub mod commands;
 pub mod config;
@@ -26,7 +27,6 @@
 pub mod metrics;
 pub mod moves;
 pub mod outcome;
-pub mod pressure;
 pub mod quarantine;
 pub mod registry;
 pub mod relay;
@@ -37,5 +37,5 @@
 pub mod signals;
 pub mod streams;
 pub mod trace;
-pub mod upstream_heads;
 pub mod upstream_limits;
+pub mod upstream_signals;
--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -17,8 +17,8 @@
 use crate::registry::UpstreamRecord;
 use crate::relay::protocol::{CopyAnswer, CopyFailure, CopyOrder};
 use crate::relay::{HostedRequest, Relay};
-use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Timeout of one copy. A large generation takes a third of it on an idle link.
 const COPY_LIMIT: Duration = Duration::from_millis(1_500);
@@ -191,7 +191,7 @@
     /// long as a permit can be taken in advance, because the runs are lost when the source shuts
     /// down.
     async fn obtain_permit(&self) -> Result<(), &'static str> {
-        upstream_heads::obtain_in_advance(&self.relay.cx, &self.source.runner).await
+        upstream_signals::obtain_in_advance(&self.relay.cx, &self.source.runner).await
     }
 
     /// Orders the source to copy the run to another runner. With `stop`, this is the final copy, for
@@ -204,8 +204,8 @@
         match compio::time::timeout(COPY_LIMIT, copied).await {
             Ok(reply) => {
                 let (cx, runner) = (&self.relay.cx, &self.source.runner);
-                upstream_limits::note(cx, runner, reply.signals.limit, sent);
-                upstream_heads::note_aside(cx, runner, reply.signals);
+                upstream_limits::record(cx, runner, reply.signals.limit, sent);
+                upstream_signals::record_background(cx, runner, reply.signals);
                 reply.outcome
             }
             Err(_) => Err(CopyFailure::Unclear(format!("no answer within {COPY_LIMIT:?}"))),
--- a/crates/hatchpitch/src/relay/protocol.rs
+++ b/crates/hatchpitch/src/relay/protocol.rs
@@ -12,7 +12,7 @@
 
 use super::request::HostedRequest;
 use crate::ids::RunnerName;
-use crate::upstream_heads::{HeadNames, HeadSignals};
+use crate::upstream_signals::{SignalHeaders, UpstreamSignals};
 
 /// One attempt to send a request to an upstream.
 #[derive(Debug, Clone)]
@@ -89,7 +89,7 @@
     /// The copy, or the reason why it was not made.
     pub outcome: Result<CopyAnswer, CopyFailure>,
     /// Signals about the runner in the head of its response.
-    pub signals: HeadSignals,
+    pub signals: UpstreamSignals,
 }
 
 /// A pending [`CopyReply`].
@@ -113,12 +113,12 @@
 
 impl ResponseKind {
     /// Returns the signals of a head with this classification that can be trusted.
-    pub fn trusted_signals(&self, signals: HeadSignals) -> HeadSignals {
+    pub fn trusted_signals(&self, signals: UpstreamSignals) -> UpstreamSignals {
         match self {
             Self::Answer => signals,
-            Self::NotRun { is_replaced: false, .. } => signals.of_refusal(),
-            Self::NotRun { .. } => HeadSignals::NONE,
-            Self::Foreign(_) => signals.of_foreign(),
+            Self::NotRun { is_replaced: false, .. } => signals.for_refusal(),
+            Self::NotRun { .. } => UpstreamSignals::NONE,
+            Self::Foreign(_) => signals.for_unverified(),
         }
     }
 }
@@ -138,14 +138,14 @@
     /// Classifies the head of a response.
     pub classify: Rc<ClassifyHead>,
     /// Names of the headers in which upstreams report their state.
-    pub head_names: HeadNames,
+    pub signal_headers: SignalHeaders,
     /// Sends a copy order to a runner.
     pub copy: Rc<CopyRun>,
 }
 
 impl RunnerProtocol {
     /// Extracts the signals about the upstream from the head of a response.
-    pub fn signals(&self, head: &Parts) -> HeadSignals {
-        HeadSignals::read(&self.head_names, head.status, &head.headers)
+    pub fn signals(&self, head: &Parts) -> UpstreamSignals {
+        UpstreamSignals::read(&self.signal_headers, head.status, &head.headers)
     }
 }
--- a/crates/hatchpitch/tests/switches.rs
+++ b/crates/hatchpitch/tests/switches.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use hatchpitch::admission::{Candidate, LengthModel, MemoryPolicy, Policy};
-use hatchpitch::routing::state::{Asked, RunnerSpec};
+use hatchpitch::routing::state::{RunnerQuery, RunnerSpec};
 use hatchpitch::routing::{RoutingConfig, RunReport, RunnerTable, Verdict};
 use hatchpitch::settings::diagnostic::{Problems, load_toml};
 use hatchpitch::settings::policy::RawPolicy;
@@ -56,7 +56,7 @@
     table.sync(["a", "b"].map(spec));
     let candidate = Candidate { kind: "k".to_owned(), prompt: 1, max_output: 1 };
     let (id, lengths) = ("run".to_owned(), LengthModel::default());
-    let asked = Asked {
+    let query = RunnerQuery {
         id: &id,
         priority: 0,
         avoid: &[],
@@ -68,7 +68,7 @@
         only_try: false,
     };
     let pick =
-        |table: &mut RunnerTable| table.pick(&asked, &candidate, &lengths, now).unwrap().name;
+        |table: &mut RunnerTable| table.pick(&query, &candidate, &lengths, now).unwrap().name;
     let failed = pick(&mut table);
     let report = RunReport { verdict: Verdict::Failed, ..RunReport::RELEASED };
     table.give_back(&failed, &id, report, now);
