--- a/crates/hatchpitch/src/entry/apps.rs
+++ b/crates/hatchpitch/src/entry/apps.rs
@@ -1,8 +1,8 @@
 //! Calls to application services under `/apps/<service>/…`.
 //!
-//! A repeatable call may be sent to another upstream after an unclear failure.
-//! Any other call is claimed first, sent at most once, and its answer kept for
-//! callers that ask again.
+//! A call to a repeatable route is retried at another upstream even if the failed attempt may have
+//! run. Any other call is claimed first and runs at most once; its answer is stored and returned
+//! when the caller repeats the call.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,40 +28,41 @@
 use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
 
-/// Header that names a request which must not be repeated.
+/// Request header with the key that identifies a call which must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY: usize = 200;
-/// Largest answer of a service, in bytes.
+/// Maximum size of an answer body of a service, in bytes.
 const MAX_ANSWER: usize = 4 * 1024 * 1024;
-/// Upstreams that a repeatable call is sent to at most.
-const MAX_TRIES: usize = 3;
-/// Permits that are asked for in vain before a call goes to upstreams only that name no limit: each
-/// question takes a round trip between boxes.
-const MAX_DENIED: usize = 3;
-/// Time a claim outlives the call that it is for.
+/// Maximum number of upstreams that one call is sent to.
+const MAX_ATTEMPTS: usize = 3;
+/// Denied permits after which a call is only sent to upstreams without a limit. Each permit request
+/// may take a round trip between boxes.
+const MAX_DENIED_PERMITS: usize = 3;
+/// Time by which a claim outlives the timeout of its call.
 const CLAIM_MARGIN: Duration = Duration::from_secs(10);
-/// Time in which a settlement is awaited before the caller gets the answer anyway.
-const SETTLE_WAIT: Duration = Duration::from_secs(2);
+/// Maximum time for which an answer is held back until its claim is settled.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A call as it will be sent.
+/// A caller's request to a service.
 pub struct AppCall {
     /// Method.
     pub method: Method,
-    /// Path below the service, with the query.
+    /// Path below the service name, with the query.
     pub path: String,
-    /// Headers of the caller.
+    /// Request headers of the caller.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A whole answer of a service.
+/// A complete answer of a service.
 struct AppAnswer {
     status: StatusCode,
     content_type: HeaderValue,
     body: Bytes,
-    /// Whether its service told where it ends.
+    /// Whether the answer declared its length or used chunked encoding, so that a truncated body is
+    /// detected.
     is_framed: bool,
 }
 
@@ -94,189 +95,206 @@
         &call.body,
     ]);
     observer::check(&cx, &content)?;
-    let app = App { cx, service, call, content, priority: workspace.priority, span };
+    let dispatch = CallDispatch { cx, service, call, content, priority: workspace.priority, span };
     if route.repeatable {
-        return app.repeatable().await;
+        return dispatch.send_repeatable().await;
     }
-    app.once(workspace).await
+    dispatch.send_once(workspace).await
 }
 
-struct App<'a> {
+/// One call to a service and what is needed to dispatch it.
+struct CallDispatch<'a> {
     cx: Rc<EntryCx>,
     service: &'a ServiceView,
     call: AppCall,
-    /// Names the call, whatever key it has.
+    /// Identifies the content of the call; does not depend on the idempotency key.
     content: ContentId,
-    /// What its workspace pays for.
+    /// Priority of the workspace.
     priority: Priority,
     span: Span,
 }
 
-/// The upstreams that a call may still go to.
+/// The upstreams that a call can still be sent to.
 struct Candidates {
-    left: std::vec::IntoIter<ServiceUpstream>,
-    tries: usize,
-    denied: usize,
-    /// When the first of those has room that are at their limits or rest.
-    opens_in: Option<Duration>,
+    remaining: std::vec::IntoIter<ServiceUpstream>,
+    attempts: usize,
+    denied_permits: usize,
+    /// Shortest time until one of the skipped upstreams, which rest or are at their limits, accepts
+    /// work.
+    available_in: Option<Duration>,
 }
 
 impl Candidates {
-    /// Notes that an upstream is passed over, and for how long it takes nothing.
-    fn closed_for(&mut self, wait: Duration) {
-        self.opens_in = Some(self.opens_in.map_or(wait, |least| least.min(wait)));
+    /// Records that an upstream was skipped because it accepts no work for `wait`.
+    fn record_unavailable(&mut self, wait: Duration) {
+        self.available_in = Some(self.available_in.map_or(wait, |shortest| shortest.min(wait)));
     }
 }
 
-impl App<'_> {
-    async fn repeatable(&self) -> Result<Response<Body>, Problem> {
-        let mut last = None;
+impl CallDispatch<'_> {
+    /// Sends the call to one upstream after another until one answers.
+    async fn send_repeatable(&self) -> Result<Response<Body>, Problem> {
+        let mut last_cause = None;
         let mut ran = false;
         let mut candidates = self.candidates();
-        while let Some(upstream) = self.next(&mut candidates).await {
+        while let Some(upstream) = self.next_upstream(&mut candidates).await {
             match self.send(&upstream).await {
                 Ok(answer) => return Ok(done_response(answer)),
                 Err(failure) => {
                     ran |= failure.ran;
-                    last = Some(failure.cause);
+                    last_cause = Some(failure.cause);
                 }
             }
-            // Others may have met the same meanwhile.
-            if let Err(held) = observer::check(&self.cx, &self.content) {
-                return Err(if ran { self.problem(Some(held.message), true) } else { held });
+            // Other calls with this content may have crashed upstreams in the meantime.
+            if let Err(quarantined) = observer::check(&self.cx, &self.content) {
+                return Err(if ran {
+                    self.problem(Some(quarantined.message), true)
+                } else {
+                    quarantined
+                });
             }
         }
-        Err(self.no_answer(&candidates, last, ran))
+        Err(self.no_answer_problem(&candidates, last_cause, ran))
     }
 
-    async fn once(&self, workspace: &Workspace) -> Result<Response<Body>, Problem> {
-        let id = ClaimId { workspace: workspace.name.clone(), key: self.key()? };
+    /// Claims the call and sends it, or returns the stored answer of an earlier call with its key.
+    async fn send_once(&self, workspace: &Workspace) -> Result<Response<Body>, Problem> {
+        let id = ClaimId { workspace: workspace.name.clone(), key: self.idempotency_key()? };
         let claim = ClaimRequest {
             id: id.clone(),
-            content: self.content(),
+            content: self.content_digest(),
             attempt: new_id(),
             run_limit: self.service.service.timeout + CLAIM_MARGIN,
         };
-        let asked = clock::now();
-        let mut claimed = Claimed::new(self.cx.clone(), id, claim.attempt.clone());
+        let asked_at = clock::now();
+        let mut claim_guard = ClaimGuard::new(self.cx.clone(), id, claim.attempt.clone());
         let span = self.span.child("claim");
         let outcome = self.cx.claims.claim(&claim).await;
         drop(span);
         match outcome {
             Some(ClaimOutcome::Granted) => {}
             None => {
-                // The claim may have been committed all the same; dropping `claimed` gives it back.
+                // The claim may have been committed nevertheless; dropping `claim_guard` settles it
+                // as not run.
                 let message = "no control quorum could be asked for the claim";
                 let problem =
                     Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "no_quorum", message);
                 return Err(problem.retry_after(self.cx.short_retry()));
             }
             Some(other) => {
-                claimed.disarm();
-                return held_answer(other, &self.cx);
+                claim_guard.disarm();
+                return ungranted_response(other, &self.cx);
             }
         }
-        if clock::since(asked) >= self.service.service.timeout + CLAIM_MARGIN / 2 {
-            // This process was frozen; by now the claim may count as unknown.
+        if clock::since(asked_at) >= self.service.service.timeout + CLAIM_MARGIN / 2 {
+            // This process was suspended, and the claim may have expired to `Unknown` by now.
             let message = "the claim ran out before the call could be sent";
             let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "claim_late", message);
             return Err(problem.retry_after(self.cx.short_retry()));
         }
-        self.run_claimed(&mut claimed).await
+        self.run_claimed(&mut claim_guard).await
     }
 
-    /// Sends a claimed call; only refused connects go on to the next upstream.
-    async fn run_claimed(&self, claimed: &mut Claimed) -> Result<Response<Body>, Problem> {
-        let mut last = None;
+    /// Sends a claimed call. Only an attempt that certainly did not run is followed by one at the
+    /// next upstream.
+    async fn run_claimed(&self, claim_guard: &mut ClaimGuard) -> Result<Response<Body>, Problem> {
+        let mut last_cause = None;
         let mut candidates = self.candidates();
-        while let Some(upstream) = self.next(&mut candidates).await {
-            claimed.settlement = Settlement::Unknown;
+        while let Some(upstream) = self.next_upstream(&mut candidates).await {
+            claim_guard.settlement = Settlement::Unknown;
             match self.send(&upstream).await {
                 Ok(answer) => {
-                    claimed.settlement = Settlement::Done(kept(&answer));
-                    claimed.settle_soon().await;
+                    claim_guard.settlement = Settlement::Done(stored_answer(&answer));
+                    claim_guard.settle_and_wait().await;
                     return Ok(done_response(answer));
                 }
                 Err(failure) if failure.ran => return Err(self.problem(Some(failure.cause), true)),
                 Err(failure) => {
-                    claimed.settlement = Settlement::NotRun;
-                    last = Some(failure.cause);
+                    claim_guard.settlement = Settlement::NotRun;
+                    last_cause = Some(failure.cause);
                 }
             }
         }
-        claimed.settle_soon().await;
-        Err(self.no_answer(&candidates, last, false))
+        claim_guard.settle_and_wait().await;
+        Err(self.no_answer_problem(&candidates, last_cause, false))
     }
 
     fn candidates(&self) -> Candidates {
-        let left = self.upstreams().into_iter();
-        Candidates { left, tries: 0, denied: 0, opens_in: None }
+        let remaining = self.serving_upstreams().into_iter();
+        Candidates { remaining, attempts: 0, denied_permits: 0, available_in: None }
     }
 
-    /// Returns the next upstream that may get the call, with the permit for it.
-    async fn next(&self, candidates: &mut Candidates) -> Option<ServiceUpstream> {
-        if candidates.tries >= MAX_TRIES {
+    /// Returns the next upstream that the call may be sent to, after obtaining a permit for it.
+    async fn next_upstream(&self, candidates: &mut Candidates) -> Option<ServiceUpstream> {
+        if candidates.attempts >= MAX_ATTEMPTS {
             return None;
         }
-        candidates.tries += 1;
-        while let Some(upstream) = candidates.left.next() {
-            let skips = candidates.denied >= MAX_DENIED
+        candidates.attempts += 1;
+        while let Some(upstream) = candidates.remaining.next() {
+            let skips = candidates.denied_permits >= MAX_DENIED_PERMITS
                 && self.cx.limits.borrow().limit(&upstream.name).is_some();
             if skips {
                 continue;
             }
-            let opens_in = self.opens_in(&upstream);
-            if !opens_in.is_zero() {
-                candidates.closed_for(opens_in);
+            let available_in = self.available_in(&upstream);
+            if !available_in.is_zero() {
+                candidates.record_unavailable(available_in);
                 continue;
             }
             match upstream_limits::obtain(&self.cx, &upstream.name, self.priority).await {
                 Ok(()) if self.cx.rests.borrow_mut().take(&upstream.name, clock::now()) => {
                     return Some(upstream);
                 }
-                Ok(()) => candidates.closed_for(self.opens_in(&upstream)),
+                Ok(()) => candidates.record_unavailable(self.available_in(&upstream)),
                 Err(wait) => {
-                    candidates.denied += 1;
-                    candidates.closed_for(wait);
+                    candidates.denied_permits += 1;
+                    candidates.record_unavailable(wait);
                 }
             }
         }
         None
     }
 
-    /// Returns what a caller is told whose call no upstream answered.
-    fn no_answer(&self, candidates: &Candidates, last: Option<String>, ran: bool) -> Problem {
+    /// Returns the problem for a call that no upstream answered.
+    fn no_answer_problem(
+        &self,
+        candidates: &Candidates,
+        last_cause: Option<String>,
+        ran: bool,
+    ) -> Problem {
         if ran {
-            return self.problem(last, ran);
+            return self.problem(last_cause, ran);
         }
-        // Those that turned it away may have asked for rest.
-        let rests = self.upstreams().iter().map(|upstream| self.opens_in(upstream)).min();
-        let rests = rests.filter(|left| !left.is_zero());
-        match candidates.opens_in.into_iter().chain(rests).min() {
+        // Upstreams that refused the call may have asked for rest in their answers.
+        let rest =
+            self.serving_upstreams().iter().map(|upstream| self.available_in(upstream)).min();
+        let rest = rest.filter(|left| !left.is_zero());
+        match candidates.available_in.into_iter().chain(rest).min() {
             Some(wait) => {
                 let status = StatusCode::SERVICE_UNAVAILABLE;
-                let cause = last.unwrap_or_else(|| RESTING.to_owned());
+                let cause = last_cause.unwrap_or_else(|| RESTING.to_owned());
                 Problem::not_run(status, "no_upstream", cause).retry_after(wait)
             }
-            None => self.problem(last, ran),
+            None => self.problem(last_cause, ran),
         }
     }
 
-    /// Returns the time until an upstream wants work of this box again.
-    fn opens_in(&self, upstream: &ServiceUpstream) -> Duration {
+    /// Returns the time until a resting upstream accepts work from this box again.
+    fn available_in(&self, upstream: &ServiceUpstream) -> Duration {
         self.cx.rests.borrow().opens_in(&upstream.name, clock::now())
     }
 
-    /// Returns the upstreams that take new work, beginning at another one each time.
-    fn upstreams(&self) -> Vec<ServiceUpstream> {
+    /// Returns the upstreams that accept new work, rotated by one position on each call.
+    fn serving_upstreams(&self) -> Vec<ServiceUpstream> {
         let all = &self.service.upstreams;
         let serving = all.iter().filter(|u| self.cx.upstream_serves(&u.name));
         let mut serving: Vec<ServiceUpstream> = serving.cloned().collect();
-        let turn = self.cx.next_turn() % serving.len().max(1);
-        serving.rotate_left(turn);
+        let offset = self.cx.next_rotation() % serving.len().max(1);
+        serving.rotate_left(offset);
         serving
     }
 
+    /// Sends the call to `upstream` and reports the outcome to the quarantine observer.
     async fn send(&self, upstream: &ServiceUpstream) -> Result<AppAnswer, AppFailure> {
         let mut span = self.span.child("app.call");
         span.note("upstream", &upstream.name);
@@ -287,14 +305,15 @@
             Err(failure) => {
                 span.note("error", &failure.cause);
                 if failure.ran {
-                    let place = RunLocation { upstream: &upstream.name, addr: upstream.addr };
-                    observer::record_interruption(&self.cx, place, self.content, None);
+                    let location = RunLocation { upstream: &upstream.name, addr: upstream.addr };
+                    observer::record_interruption(&self.cx, location, self.content, None);
                 }
             }
         }
         sent
     }
 
+    /// Sends the call to `upstream` and reads the answer.
     async fn exchange(
         &self,
         upstream: &ServiceUpstream,
@@ -307,8 +326,9 @@
         let res = self.cx.upstream(addr).send(req, timeout).await.map_err(AppFailure::from)?;
         upstream_heads::note(&self.cx, &upstream.name, head_signals(&res), sent_at);
         let status = res.status();
-        let plain = || HeaderValue::from_static("application/octet-stream");
-        let content_type = res.headers().get(header::CONTENT_TYPE).cloned().unwrap_or_else(plain);
+        let default_type = || HeaderValue::from_static("application/octet-stream");
+        let content_type =
+            res.headers().get(header::CONTENT_TYPE).cloned().unwrap_or_else(default_type);
         let refused = status == StatusCode::SERVICE_UNAVAILABLE
             && res.headers().get(OUTCOME_HEADER).is_some_and(|v| v == Outcome::NotRun.as_str());
         if refused {
@@ -340,7 +360,8 @@
         req
     }
 
-    fn key(&self) -> Result<String, Problem> {
+    /// Returns the idempotency key of the call.
+    fn idempotency_key(&self) -> Result<String, Problem> {
         let value = self.call.headers.get(IDEMPOTENCY_KEY);
         let key = value.and_then(|value| value.to_str().ok()).unwrap_or("");
         if key.is_empty() || key.len() > MAX_KEY {
@@ -353,7 +374,8 @@
         Ok(key.to_owned())
     }
 
-    fn content(&self) -> Digest {
+    /// Returns the digest by which the control boxes detect a key that is reused for another call.
+    fn content_digest(&self) -> Digest {
         let mut hash = Sha256::new();
         let name = &self.service.service.name;
         for part in [name, self.call.method.as_str(), &self.call.path] {
@@ -376,8 +398,10 @@
     }
 }
 
+/// Why an attempt at one upstream failed.
 struct AppFailure {
     cause: String,
+    /// Whether the upstream may have run the call.
     ran: bool,
 }
 
@@ -387,35 +411,39 @@
     }
 }
 
-/// A claim that this process holds or may hold; dropping it settles it.
-struct Claimed {
+/// A claim that this process holds or may hold. Dropping the guard settles the claim.
+struct ClaimGuard {
     cx: Rc<EntryCx>,
     id: ClaimId,
     attempt: String,
+    /// What the claim is settled as.
     settlement: Settlement,
+    /// Whether the claim is settled on drop.
     armed: bool,
 }
 
-impl Claimed {
+impl ClaimGuard {
     fn new(cx: Rc<EntryCx>, id: ClaimId, attempt: String) -> Self {
         Self { cx, id, attempt, settlement: Settlement::NotRun, armed: true }
     }
 
+    /// Leaves the claim unsettled on drop.
     fn disarm(&mut self) {
         self.armed = false;
     }
 
-    /// Settles now and waits a while for it to be durable.
-    async fn settle_soon(&mut self) {
+    /// Settles the claim and waits up to [`SETTLE_TIMEOUT`] for the settlement to be durable.
+    async fn settle_and_wait(&mut self) {
         self.armed = false;
         let settling = self.spawn_settle();
-        if compio::time::timeout(SETTLE_WAIT, settling).await.is_err() {
-            log::warn!("settlement of a claim is still on its way");
+        if compio::time::timeout(SETTLE_TIMEOUT, settling).await.is_err() {
+            log::warn!("claim not settled within {SETTLE_TIMEOUT:?}; the caller is answered now");
         }
     }
 
+    /// Settles the claim in a task of its own. The returned future resolves when that task ends.
     fn spawn_settle(&self) -> impl Future<Output = ()> + use<> {
-        let (tx, rx) = futures_channel::oneshot::channel::<()>();
+        let (settled_tx, settled_rx) = futures_channel::oneshot::channel::<()>();
         let claims = self.cx.claims.clone();
         let req = SettleRequest {
             id: self.id.clone(),
@@ -425,19 +453,21 @@
         let active = self.cx.begin();
         compio::runtime::spawn(async move {
             if !claims.settle(&req).await {
-                log::warn!("a claim could not be settled; it will count as unknown");
+                log::warn!(
+                    "claim could not be settled; its outcome becomes unknown when it expires"
+                );
             }
             drop(active);
-            let _ = tx.send(());
+            let _ = settled_tx.send(());
         })
         .detach();
         async move {
-            let _ = rx.await;
+            let _ = settled_rx.await;
         }
     }
 }
 
-impl Drop for Claimed {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if self.armed {
             drop(self.spawn_settle());
@@ -445,10 +475,11 @@
     }
 }
 
-fn held_answer(outcome: ClaimOutcome, cx: &EntryCx) -> Result<Response<Body>, Problem> {
+/// Returns the response to a call whose claim was not granted.
+fn ungranted_response(outcome: ClaimOutcome, cx: &EntryCx) -> Result<Response<Body>, Problem> {
     let conflict = |kind, message: &str| Problem::unknown(StatusCode::CONFLICT, kind, message);
     match outcome {
-        ClaimOutcome::Kept(answer) => Ok(kept_response(answer)),
+        ClaimOutcome::Kept(answer) => Ok(stored_response(answer)),
         ClaimOutcome::Running => {
             let problem = conflict("in_progress", "another attempt of this request is in progress");
             Err(problem.retry_after(cx.short_retry()))
@@ -470,7 +501,8 @@
     }
 }
 
-fn kept(answer: &AppAnswer) -> KeptAnswer {
+/// Returns an answer in the form in which the control boxes store it.
+fn stored_answer(answer: &AppAnswer) -> KeptAnswer {
     KeptAnswer {
         status: answer.status.as_u16(),
         content_type: answer.content_type.to_str().unwrap_or_default().to_owned(),
@@ -478,8 +510,9 @@
     }
 }
 
-fn kept_response(kept: KeptAnswer) -> Response<Body> {
-    let Some(body) = kept.body else {
+/// Returns the response for a stored answer.
+fn stored_response(stored: KeptAnswer) -> Response<Body> {
+    let Some(body) = stored.body else {
         let mut problem = Problem::unknown(
             StatusCode::CONFLICT,
             "answer_not_kept",
@@ -489,14 +522,15 @@
         return problem.into_response();
     };
     done_response(AppAnswer {
-        status: StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK),
-        content_type: HeaderValue::from_str(&kept.content_type)
+        status: StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK),
+        content_type: HeaderValue::from_str(&stored.content_type)
             .unwrap_or_else(|_| HeaderValue::from_static("application/octet-stream")),
         body: Bytes::from(body),
         is_framed: true,
     })
 }
 
+/// Returns the response for an answer of an upstream.
 fn done_response(answer: AppAnswer) -> Response<Body> {
     let mut res = Response::new(Body::from(answer.body));
     *res.status_mut() = answer.status;
--- a/crates/hatchpitch/src/entry/boxes.rs
+++ b/crates/hatchpitch/src/entry/boxes.rs
@@ -1,4 +1,4 @@
-//! The listener for other boxes.
+//! Handles messages from other boxes.
 
 use std::rc::Rc;
 
@@ -6,14 +6,14 @@
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 
-use super::callers::{body_problem, only};
+use super::callers::{body_problem, require_method};
 use super::context::EntryCx;
 use crate::config::FeedRequest;
 use crate::config::feed::FEED_PATH;
 use crate::grants::messages::{AdoptRequest, GrantRequest, GrantSync, ReleaseRequest};
 use crate::grants::task::{self as grants, ADOPT_PATH, GRANT_PATH, RELEASE_PATH, SYNC_PATH};
 use crate::membership::messages::{Gossip, ProbeRequest};
-use crate::membership::task::{self, GOSSIP_PATH, PING_PATH, PROBE_PATH};
+use crate::membership::task::{self as membership, GOSSIP_PATH, PING_PATH, PROBE_PATH};
 use crate::moves::task::{self as turns, TURN_DONE_PATH, TURN_PATH};
 use crate::moves::{TurnDone, TurnRequest};
 use crate::outcome::text_response;
@@ -22,28 +22,28 @@
 use crate::upstream_limits::task::{self as upstream_limits, NEWS_PATH, PERMIT_PATH};
 use crate::upstream_limits::{LimitNews, PermitRequest};
 
-/// Answers one message of another box.
+/// Handles one message from another box.
 pub async fn handle(cx: Rc<EntryCx>, req: Request<Incoming>) -> Response<Body> {
-    if let Err(problem) = only(Method::POST, &req) {
+    if let Err(problem) = require_method(Method::POST, &req) {
         return problem.into_response();
     }
     let (parts, incoming) = req.into_parts();
-    let limits = &cx.settings;
-    let read = read_body(incoming, limits.limits.max_body, limits.timing.body_timeout);
+    let settings = &cx.settings;
+    let read = read_body(incoming, settings.limits.max_body, settings.timing.body_timeout);
     let body = match read.await {
         Ok(body) => body,
         Err(err) => return body_problem(err).into_response(),
     };
     let path = parts.uri.path();
     let keys = &cx.settings.box_keys;
-    let answered = match path {
+    let answer = match path {
         GOSSIP_PATH => open_message::<Gossip>(keys, path, &parts.headers, &body)
-            .map(|gossip| cx.boxes.respond(&task::answer(&cx.membership, &cx.boxes, gossip))),
+            .map(|gossip| cx.boxes.respond(&membership::answer(&cx.membership, &cx.boxes, gossip))),
         PING_PATH => {
             open_message::<()>(keys, path, &parts.headers, &body).map(|()| cx.boxes.respond(&()))
         }
         PROBE_PATH => match open_message::<ProbeRequest>(keys, path, &parts.headers, &body) {
-            Ok(req) => Ok(cx.boxes.respond(&task::probe(&cx.boxes, req).await)),
+            Ok(req) => Ok(cx.boxes.respond(&membership::probe(&cx.boxes, req).await)),
             Err(refusal) => Err(refusal),
         },
         FEED_PATH => match open_message::<FeedRequest>(keys, path, &parts.headers, &body) {
@@ -72,5 +72,5 @@
             .map(|req| cx.boxes.respond(&grants::sync(&cx, &req))),
         _ => Err(Box::new(text_response(StatusCode::NOT_FOUND, "no such path"))),
     };
-    answered.unwrap_or_else(|refusal| *refusal)
+    answer.unwrap_or_else(|refusal| *refusal)
 }
--- a/crates/hatchpitch/src/entry/callers.rs
+++ b/crates/hatchpitch/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! The listener for callers and operators.
+//! Handles HTTP requests from callers and operators.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -21,10 +21,10 @@
 use crate::security::bearer;
 use crate::trace::Span;
 
-/// Longest path with query, in bytes.
+/// Maximum length of a request target (path and query), in bytes.
 const MAX_TARGET: usize = 4_096;
 
-/// Answers one request of a caller or operator.
+/// Handles one request from a caller or operator.
 pub async fn handle(cx: Rc<EntryCx>, req: Request<Incoming>, peer: SocketAddr) -> Response<Body> {
     let _active = cx.begin();
     let mut span = cx.tracer.start("caller.request", req.headers());
@@ -33,7 +33,7 @@
     let mut res = match dispatch(&cx, req, peer, span).await {
         Ok(res) => res,
         Err(problem) => {
-            note_problem(&cx, &problem);
+            record_problem(&cx, &problem);
             problem.into_response()
         }
     };
@@ -43,17 +43,19 @@
     res
 }
 
-fn note_problem(cx: &EntryCx, problem: &Problem) {
-    let count = match (problem.status, problem.outcome) {
+/// Counts a refused or failed request and logs it.
+fn record_problem(cx: &EntryCx, problem: &Problem) {
+    let counter = match (problem.status, problem.outcome) {
         (StatusCode::UNAUTHORIZED, _) => Count::UnknownKey,
         (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE, _) => Count::BadInput,
         (_, Outcome::Unknown) => Count::Unknown,
         _ => Count::Refused,
     };
-    cx.metrics.count(count, "");
+    cx.metrics.count(counter, "");
     log::info!("refused with {}: {}: {}", problem.status, problem.kind, problem.message);
 }
 
+/// Passes a request to the handler of its path.
 async fn dispatch(
     cx: &Rc<EntryCx>,
     req: Request<Incoming>,
@@ -67,16 +69,16 @@
     }
     let path = req.uri().path().to_owned();
     match path.as_str() {
-        "/v1/endpoints" => only(Method::GET, &req).map(|()| endpoints(cx, &req, peer)),
-        "/metrics" => only(Method::GET, &req).map(|()| metrics(cx)),
+        "/v1/endpoints" => require_method(Method::GET, &req).map(|()| endpoints(cx, &req, peer)),
+        "/metrics" => require_method(Method::GET, &req).map(|()| metrics(cx)),
         "/health" => Ok(health(cx)),
         _ if path.starts_with("/ops/") => operators::handle(cx, req).await,
-        _ => work(cx, req, &path, span).await,
+        _ => serve_workspace(cx, req, &path, span).await,
     }
 }
 
-/// Serves a request that needs a workspace.
-async fn work(
+/// Serves a request that has to carry the key of a workspace.
+async fn serve_workspace(
     cx: &Rc<EntryCx>,
     req: Request<Incoming>,
     path: &str,
@@ -85,8 +87,9 @@
     let view = cx.sync_gates();
     let workspace = authenticate(&view, req.headers())?;
     if let Some(token) = path.strip_prefix("/v1/responses/") {
-        // Reading on is not new work: a leaving box and an old configuration allow it.
-        only(Method::GET, &req)?;
+        // Resuming an answer is no new work, so it is allowed while the box is leaving or its
+        // configuration is stale.
+        require_method(Method::GET, &req)?;
         let headers = req.headers().clone();
         return completions::resume(cx.clone(), &view, workspace, token, &headers, span).await;
     }
@@ -94,14 +97,14 @@
     cx.metrics.count(Count::Requests, "");
     match path {
         "/v1/chat/completions" | "/v1/completions" => {
-            only(Method::POST, &req)?;
+            require_method(Method::POST, &req)?;
             let chat = path.contains("chat");
-            let body = body(cx, req.into_body()).await?;
+            let body = read_request_body(cx, req.into_body()).await?;
             completions::serve(cx.clone(), &view, workspace, &body, chat, span).await
         }
-        _ => match path.strip_prefix("/apps/").map(split_service) {
+        _ => match path.strip_prefix("/apps/").map(split_service_name) {
             Some((service, rest)) => {
-                let call = app_call(cx, req, rest.to_owned()).await?;
+                let call = read_app_call(cx, req, rest.to_owned()).await?;
                 apps::serve(cx.clone(), &view, workspace, service, call, span).await
             }
             None => {
@@ -112,17 +115,23 @@
     }
 }
 
+/// Returns the workspace that the bearer key belongs to.
 fn authenticate<'a>(view: &'a FleetView, headers: &HeaderMap) -> Result<&'a Workspace, Problem> {
-    let found = bearer(headers).and_then(|key| view.workspace_of_key(key));
-    found.map(|ix| &view.workspaces[ix]).ok_or_else(|| {
+    let workspace = bearer(headers).and_then(|key| view.workspace_of_key(key));
+    workspace.map(|ix| &view.workspaces[ix]).ok_or_else(|| {
         let message = "Authorization: expected \"Bearer\" and a key of a workspace";
         Problem::not_run(StatusCode::UNAUTHORIZED, "unknown_key", message)
     })
 }
 
-async fn app_call(cx: &EntryCx, req: Request<Incoming>, path: String) -> Result<AppCall, Problem> {
+/// Reads a request to a service. `path` is the path below the service name.
+async fn read_app_call(
+    cx: &EntryCx,
+    req: Request<Incoming>,
+    path: String,
+) -> Result<AppCall, Problem> {
     let (parts, incoming) = req.into_parts();
-    let body = body(cx, incoming).await?;
+    let body = read_request_body(cx, incoming).await?;
     let path = match parts.uri.query() {
         Some(query) => format!("{path}?{query}"),
         None => path,
@@ -130,12 +139,13 @@
     Ok(AppCall { method: parts.method, path, headers: parts.headers, body })
 }
 
-async fn body(cx: &EntryCx, incoming: Incoming) -> Result<Bytes, Problem> {
+/// Reads a request body within the limits of the settings.
+async fn read_request_body(cx: &EntryCx, incoming: Incoming) -> Result<Bytes, Problem> {
     let max = cx.settings.limits.max_body;
     read_body(incoming, max, cx.settings.timing.body_timeout).await.map_err(body_problem)
 }
 
-/// Returns the refusal for a body that could not be read.
+/// Returns the problem for a request body that could not be read.
 pub fn body_problem(err: BodyError) -> Problem {
     let status = match err {
         BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
@@ -145,8 +155,8 @@
     Problem::not_run(status, "bad_request", format!("request body: {err}"))
 }
 
-/// Refuses other methods.
-pub(super) fn only<B>(method: Method, req: &Request<B>) -> Result<(), Problem> {
+/// Returns a problem if the request does not use `method`.
+pub(super) fn require_method<B>(method: Method, req: &Request<B>) -> Result<(), Problem> {
     if req.method() == method {
         return Ok(());
     }
@@ -154,17 +164,19 @@
     Err(Problem::not_run(StatusCode::METHOD_NOT_ALLOWED, "bad_request", message))
 }
 
+/// Returns boxes for the caller to connect to, preferring the failure domain that it names.
 fn endpoints(cx: &EntryCx, req: &Request<Incoming>, peer: SocketAddr) -> Response<Body> {
-    let near = query_value(req.uri(), "failure_domain");
-    let mut hasher = DefaultHasher::new();
-    peer.hash(&mut hasher);
+    let near_domain = query_value(req.uri(), "failure_domain");
+    let mut peer_hasher = DefaultHasher::new();
+    peer.hash(&mut peer_hasher);
     let membership = cx.membership.borrow();
     let max_age = cx.settings.timing.endpoints_max_age;
-    let chosen: Endpoints =
-        discovery::choose(membership.serving_boxes(), near, hasher.finish(), max_age);
-    json_response(StatusCode::OK, &chosen, Outcome::Done)
+    let endpoints: Endpoints =
+        discovery::choose(membership.serving_boxes(), near_domain, peer_hasher.finish(), max_age);
+    json_response(StatusCode::OK, &endpoints, Outcome::Done)
 }
 
+/// Updates the gauges and renders all metrics.
 fn metrics(cx: &EntryCx) -> Response<Body> {
     cx.metrics.gauge("hatchpitch_active_requests", cx.active() as f64);
     cx.metrics.gauge("hatchpitch_config_number", cx.config.number() as f64);
@@ -178,6 +190,7 @@
     text_response(StatusCode::OK, cx.metrics.render())
 }
 
+/// Tells load balancers whether the box accepts new work.
 fn health(cx: &EntryCx) -> Response<Body> {
     if cx.takes_work() {
         return text_response(StatusCode::OK, "ok\n");
@@ -185,14 +198,16 @@
     text_response(StatusCode::SERVICE_UNAVAILABLE, "takes no new work\n")
 }
 
-fn split_service(rest: &str) -> (&str, &str) {
+/// Splits a path below `/apps/` into the service name and the rest, which begins with a slash.
+fn split_service_name(rest: &str) -> (&str, &str) {
     match rest.find('/') {
         Some(at) => rest.split_at(at),
         None => (rest, "/"),
     }
 }
 
-/// Returns a path that is safe to log: response tokens are left out.
+/// Returns the path as it may be logged: a response token is replaced by an ellipsis, as whoever
+/// has it could resume the answer.
 fn path_label(path: &str) -> &str {
     if path.starts_with("/v1/responses/") { "/v1/responses/…" } else { path }
 }
--- a/crates/hatchpitch/src/entry/chunks.rs
+++ b/crates/hatchpitch/src/entry/chunks.rs
@@ -1,4 +1,4 @@
-//! The shape of answers to callers: server-sent events and whole bodies.
+//! Formats answers to callers, as server-sent events or as one JSON body.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -8,31 +8,32 @@
 use crate::ids::TokenIndex;
 use crate::outcome::Problem;
 
-/// What is the same in every chunk of one answer.
+/// The fields that all chunks of one answer have in common.
 #[derive(Debug, Clone)]
-pub struct ChunkShape {
+pub struct ChunkFormat {
     /// Id of the answer.
     pub id: String,
-    /// The model.
+    /// Name of the model, as the caller gave it.
     pub model: String,
-    /// Seconds since 1970 when the answer began.
+    /// Start of the answer, in seconds since the Unix epoch.
     pub created: u64,
-    /// Whether chunks have the chat shape.
+    /// Whether to use the format of chat completions instead of text completions.
     pub chat: bool,
 }
 
-impl ChunkShape {
-    /// Formats one token; the event id is its index.
+impl ChunkFormat {
+    /// Formats the event for one token. The event id is the index of the token, from which a caller
+    /// resumes.
     pub fn token(&self, index: TokenIndex, text: &str) -> Bytes {
         let choice = if self.chat {
             json!({"index": 0, "delta": {"content": text}, "finish_reason": null})
         } else {
             json!({"index": 0, "text": text, "finish_reason": null})
         };
-        Bytes::from(format!("id: {index}\ndata: {}\n\n", self.object(choice)))
+        Bytes::from(format!("id: {index}\ndata: {}\n\n", self.chunk(choice)))
     }
 
-    /// Formats the end of a whole answer.
+    /// Formats the last events of an answer that is complete.
     pub fn finish(&self, reason: FinishReason) -> Bytes {
         let reason = reason_name(reason);
         let choice = if self.chat {
@@ -40,14 +41,15 @@
         } else {
             json!({"index": 0, "text": "", "finish_reason": reason})
         };
-        Bytes::from(format!("data: {}\n\ndata: [DONE]\n\n", self.object(choice)))
+        Bytes::from(format!("data: {}\n\ndata: [DONE]\n\n", self.chunk(choice)))
     }
 
-    /// Formats a whole answer that was not streamed.
-    pub fn whole(
+    /// Formats a complete answer that is not streamed. `prompt_tokens` and `tokens` are the lengths
+    /// of the prompt and the output, in tokens.
+    pub fn complete(
         &self,
         text: &str,
-        prompt: u64,
+        prompt_tokens: u64,
         tokens: u64,
         reason: FinishReason,
     ) -> impl Serialize {
@@ -65,14 +67,15 @@
             "model": self.model,
             "choices": [choice],
             "usage": {
-                "prompt_tokens": prompt,
+                "prompt_tokens": prompt_tokens,
                 "completion_tokens": tokens,
-                "total_tokens": prompt + tokens,
+                "total_tokens": prompt_tokens + tokens,
             },
         })
     }
 
-    fn object(&self, choice: serde_json::Value) -> serde_json::Value {
+    /// Wraps a choice in the JSON object of a chunk.
+    fn chunk(&self, choice: serde_json::Value) -> serde_json::Value {
         let object = if self.chat { "chat.completion.chunk" } else { "text_completion" };
         json!({
             "id": self.id,
@@ -84,17 +87,18 @@
     }
 }
 
-/// Formats the end of an answer that is not whole; no `[DONE]` follows it.
+/// Formats the event that ends an incomplete answer. No `[DONE]` follows it.
 pub fn error_event(problem: &Problem) -> Bytes {
     let body = serde_json::to_string(&problem.body()).unwrap_or_default();
     Bytes::from(format!("event: error\ndata: {body}\n\n"))
 }
 
-/// A comment that shows the caller that the link lives.
+/// Returns a comment event that shows the caller that the connection is alive.
 pub fn heartbeat() -> Bytes {
     Bytes::from_static(b": heartbeat\n\n")
 }
 
+/// Returns the value of the field `finish_reason`.
 fn reason_name(reason: FinishReason) -> &'static str {
     match reason {
         FinishReason::Stop => "stop",
--- a/crates/hatchpitch/src/entry/completions.rs
+++ b/crates/hatchpitch/src/entry/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`, `POST /v1/completions` and `GET /v1/responses/<token>`.
+//! Serves `POST /v1/chat/completions`, `POST /v1/completions` and `GET /v1/responses/<token>`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header};
 use serde::Deserialize;
 
-use super::chunks::{self, ChunkShape};
-use super::context::EntryCx;
+use super::chunks::{self, ChunkFormat};
+use super::context::{EntryCx, StreamGuard};
 use super::generation::{Generation, Job, StartError};
 use crate::config::Workspace;
 use crate::config::view::{FleetView, PoolIx};
@@ -21,16 +21,16 @@
 use crate::streams::StreamStep;
 use crate::trace::Span;
 
-/// Header that carries the token with which any box resumes the answer.
+/// Response header with the token by which a caller can resume the answer at any box.
 pub const RESPONSE_HEADER: &str = "x-hatchpitch-response";
-/// Header with which callers resume, as browsers send it.
+/// Request header with the last event id received, as browsers send it on reconnection.
 const LAST_EVENT_ID: &str = "last-event-id";
-/// Pieces buffered between engine and caller.
-const BUFFERED_PIECES: usize = 32;
-/// Longest prompt, in characters.
+/// Maximum number of events buffered between the engine and the caller.
+const MAX_BUFFERED_EVENTS: usize = 32;
+/// Maximum length of a prompt, in bytes.
 const MAX_PROMPT: usize = 512 * 1024;
 
-/// The body of a completion request; fields that are not listed are ignored, as usual for this API.
+/// The body of a completion request. Other fields are ignored, as is customary for this API.
 #[derive(Debug, Deserialize)]
 struct CompletionBody {
     model: String,
@@ -45,12 +45,14 @@
     seed: Option<u64>,
 }
 
+/// One message of a conversation.
 #[derive(Debug, Deserialize)]
 struct ChatMessage {
     role: String,
     content: ChatContent,
 }
 
+/// Content of a message: a string or a list of parts.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum ChatContent {
@@ -58,13 +60,14 @@
     Parts(Vec<ChatPart>),
 }
 
+/// One part of a message. A part without text counts as empty.
 #[derive(Debug, Deserialize)]
 struct ChatPart {
     #[serde(default)]
     text: String,
 }
 
-/// Serves a completion.
+/// Serves a completion request.
 pub async fn serve(
     cx: Rc<EntryCx>,
     view: &FleetView,
@@ -74,11 +77,11 @@
     span: Span,
 ) -> Result<Response<Body>, Problem> {
     let job = parse(view, workspace, body, chat)?;
-    let streams = begin_stream(&cx, workspace)?;
-    let shape = shape(&job, chat);
-    let started = Generation::start(cx.clone(), job, span, streams).await;
+    let stream_guard = begin_stream(&cx, workspace)?;
+    let format = chunk_format(&job, chat);
+    let started = Generation::start(cx.clone(), job, span, stream_guard).await;
     let generation = started.map_err(|err| start_problem(&cx, err))?;
-    answer(cx, generation, shape, chat).await
+    respond(cx, generation, format, chat).await
 }
 
 /// Resumes a streamed answer after the token that `Last-Event-ID` names.
@@ -90,15 +93,15 @@
     headers: &HeaderMap,
     span: Span,
 ) -> Result<Response<Body>, Problem> {
-    let missing = || Problem::not_run(StatusCode::NOT_FOUND, "no_response", "no such response");
-    let token = ResponseToken::open(&cx.settings.box_keys, token).ok_or_else(missing)?;
+    let not_found = || Problem::not_run(StatusCode::NOT_FOUND, "no_response", "no such response");
+    let token = ResponseToken::open(&cx.settings.box_keys, token).ok_or_else(not_found)?;
     if token.workspace != workspace.name {
-        return Err(missing());
+        return Err(not_found());
     }
     let next = next_index(headers)?;
-    let pool = view.pools.iter().find(|p| p.pool.name == token.pool).ok_or_else(missing)?;
-    let runner = pool.runners.iter().find(|r| r.name == token.runner).ok_or_else(missing)?;
-    let streams = begin_stream(&cx, workspace)?;
+    let pool = view.pools.iter().find(|p| p.pool.name == token.pool).ok_or_else(not_found)?;
+    let runner = pool.runners.iter().find(|r| r.name == token.runner).ok_or_else(not_found)?;
+    let stream_guard = begin_stream(&cx, workspace)?;
     let job = Job {
         workspace: workspace.name.clone(),
         priority: workspace.priority,
@@ -107,17 +110,19 @@
         prompt: String::new(),
         max_tokens: pool.pool.max_tokens,
         seed: None,
-        streams: true,
+        is_streamed: true,
         silence_limit: pool.pool.silence_limit,
     };
-    let shape = shape(&job, token.chat);
+    let format = chunk_format(&job, token.chat);
     let runner = (runner.name.clone(), runner.addr);
     let resumed =
-        Generation::resume(cx.clone(), job, runner, token.generation, next, span, streams).await;
+        Generation::resume(cx.clone(), job, runner, token.generation, next, span, stream_guard)
+            .await;
     let generation = resumed.map_err(|err| start_problem(&cx, err))?;
-    answer(cx, generation, shape, token.chat).await
+    respond(cx, generation, format, token.chat).await
 }
 
+/// Parses and validates a completion request.
 fn parse(
     view: &FleetView,
     workspace: &Workspace,
@@ -128,12 +133,12 @@
         .map_err(|err| Problem::bad_request(format!("request body: {err}")))?;
     let pool = find_pool(view, workspace, &body.model)?;
     let pool = &view.pools[pool].pool;
-    let prompt = prompt(&body, chat)?;
+    let prompt = build_prompt(&body, chat)?;
     if prompt.len() > MAX_PROMPT {
         return Err(Problem::bad_request(format!("prompt longer than {MAX_PROMPT} bytes")));
     }
-    let asked = body.max_completion_tokens.or(body.max_tokens).unwrap_or(pool.max_tokens);
-    if asked == 0 {
+    let max_tokens = body.max_completion_tokens.or(body.max_tokens).unwrap_or(pool.max_tokens);
+    if max_tokens == 0 {
         return Err(Problem::bad_request("max_tokens: found 0, expected 1 or more"));
     }
     Ok(Job {
@@ -142,23 +147,25 @@
         pool: pool.name.clone(),
         model: body.model,
         prompt,
-        max_tokens: asked.min(pool.max_tokens),
+        max_tokens: max_tokens.min(pool.max_tokens),
         seed: body.seed,
-        streams: body.stream,
+        is_streamed: body.stream,
         silence_limit: pool.silence_limit,
     })
 }
 
+/// Returns the pool that serves a model to a workspace.
 fn find_pool(view: &FleetView, workspace: &Workspace, model: &str) -> Result<PoolIx, Problem> {
-    let found = view.pool_of_model(model);
-    let allowed = found.filter(|ix| workspace.pools.contains(&view.pools[*ix].pool.name));
+    let pool = view.pool_of_model(model);
+    let allowed = pool.filter(|ix| workspace.pools.contains(&view.pools[*ix].pool.name));
     allowed.ok_or_else(|| {
         let message = format!("model: this workspace has no model {model:?}");
         Problem::not_run(StatusCode::NOT_FOUND, "unknown_model", message)
     })
 }
 
-fn prompt(body: &CompletionBody, chat: bool) -> Result<String, Problem> {
+/// Returns the prompt of a request. Chat messages become one line each, prefixed with the role.
+fn build_prompt(body: &CompletionBody, chat: bool) -> Result<String, Problem> {
     if !chat {
         return body.prompt.clone().ok_or_else(|| Problem::bad_request("prompt: missing"));
     }
@@ -178,10 +185,8 @@
     Ok(prompt)
 }
 
-fn begin_stream(
-    cx: &Rc<EntryCx>,
-    workspace: &Workspace,
-) -> Result<super::context::StreamGuard, Problem> {
+/// Counts a stream of a workspace, or refuses it if the workspace has as many as it may.
+fn begin_stream(cx: &Rc<EntryCx>, workspace: &Workspace) -> Result<StreamGuard, Problem> {
     cx.begin_stream(&workspace.name, workspace.max_streams).ok_or_else(|| {
         let message = format!("the workspace holds {} streams at this box", workspace.max_streams);
         let refused = Problem::not_run(StatusCode::TOO_MANY_REQUESTS, "too_many_streams", message);
@@ -189,8 +194,9 @@
     })
 }
 
-fn shape(job: &Job, chat: bool) -> ChunkShape {
-    ChunkShape {
+/// Returns the chunk format of a new answer.
+fn chunk_format(job: &Job, chat: bool) -> ChunkFormat {
+    ChunkFormat {
         id: format!("resp-{}", crate::ids::new_id()),
         model: job.model.clone(),
         created: unix_ms() / 1_000,
@@ -198,6 +204,7 @@
     }
 }
 
+/// Returns the index of the first token to send to a caller that resumes.
 fn next_index(headers: &HeaderMap) -> Result<u64, Problem> {
     let Some(value) = headers.get(LAST_EVENT_ID) else { return Ok(0) };
     let parsed = value.to_str().ok().and_then(|text| text.trim().parse::<u64>().ok());
@@ -207,17 +214,19 @@
     Ok(last.saturating_add(1))
 }
 
+/// Returns the problem for an answer that could not be started.
 fn start_problem(cx: &EntryCx, err: StartError) -> Problem {
     match err {
         StartError::Refused(refusal) => {
             Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "no_capacity", refusal.cause)
                 .retry_after(refusal.retry_after)
         }
-        StartError::Held(problem) => problem,
+        StartError::Quarantined(problem) => problem,
         StartError::Failed { cause, ran } => failed_problem(cx, cause, ran),
     }
 }
 
+/// Returns the problem for a failed generation. `ran` tells whether any runner may have run it.
 fn failed_problem(cx: &EntryCx, cause: String, ran: bool) -> Problem {
     let problem = if ran {
         Problem::unknown(StatusCode::BAD_GATEWAY, "engine_lost", cause)
@@ -227,15 +236,16 @@
     problem.retry_after(cx.short_retry())
 }
 
-/// Waits for the first step, so that failures until then get a proper status.
-async fn answer(
+/// Returns the response to a request. A streamed response begins with the first token, so that a
+/// failure before it still gets an error status.
+async fn respond(
     cx: Rc<EntryCx>,
     mut generation: Generation,
-    shape: ChunkShape,
+    format: ChunkFormat,
     chat: bool,
 ) -> Result<Response<Body>, Problem> {
-    if !generation.job().streams {
-        return collect(&cx, generation, &shape).await;
+    if !generation.job().is_streamed {
+        return collect(&cx, generation, &format).await;
     }
     let first = loop {
         match generation.next().await {
@@ -254,10 +264,10 @@
         chat,
     };
     let token = token.seal(&cx.settings.box_keys);
-    let (tx, body) = Body::stream(BUFFERED_PIECES);
+    let (tx, body) = Body::stream(MAX_BUFFERED_EVENTS);
     let active = cx.begin();
     compio::runtime::spawn(async move {
-        pump(&cx, generation, first, &shape, tx).await;
+        stream_to_caller(&cx, generation, first, &format, tx).await;
         drop(active);
     })
     .detach();
@@ -272,54 +282,61 @@
     Ok(res)
 }
 
-/// Passes the steps of an answer to its caller until it ends or the caller leaves.
-async fn pump(
+/// Sends the events of an answer to its caller until the answer ends or the caller disconnects.
+async fn stream_to_caller(
     cx: &EntryCx,
     mut generation: Generation,
     first: StreamStep,
-    shape: &ChunkShape,
+    format: &ChunkFormat,
     mut tx: BodySender,
 ) {
     let mut step = first;
     loop {
-        let (piece, last) = match step {
-            StreamStep::Deliver { index, text } => (shape.token(index, &text), false),
-            StreamStep::Finish { reason, .. } => (shape.finish(reason), true),
+        let (event, is_last) = match step {
+            StreamStep::Deliver { index, text } => (format.token(index, &text), false),
+            StreamStep::Finish { reason, .. } => (format.finish(reason), true),
             StreamStep::Fail { cause } => {
                 cx.metrics.count(Count::Unknown, &generation.job().pool);
                 (chunks::error_event(&failed_problem(cx, cause, true)), true)
             }
             _ => (chunks::heartbeat(), false),
         };
-        if !send(cx, &generation, &mut tx, piece).await || last {
+        if !send_event(cx, &generation, &mut tx, event).await || is_last {
             return;
         }
         step = generation.next().await;
     }
 }
 
-/// Sends one piece; returns whether the caller still reads.
-async fn send(cx: &EntryCx, generation: &Generation, tx: &mut BodySender, piece: Bytes) -> bool {
+/// Sends one event. Returns whether the caller accepted it within the time allowed for slow
+/// callers.
+async fn send_event(
+    cx: &EntryCx,
+    generation: &Generation,
+    tx: &mut BodySender,
+    event: Bytes,
+) -> bool {
     let limit: Duration = cx.settings.timing.slow_caller;
-    let count = match compio::time::timeout(limit, tx.send(piece)).await {
+    let counter = match compio::time::timeout(limit, tx.send(event)).await {
         Ok(Ok(())) => return true,
         Ok(Err(_)) => Count::CallerLeft,
         Err(_) => Count::CallerSlow,
     };
-    cx.metrics.count(count, &generation.job().pool);
+    cx.metrics.count(counter, &generation.job().pool);
     false
 }
 
-/// Collects an answer that is not streamed; a lost engine may be made up for elsewhere.
+/// Collects an answer that is not streamed. As the caller has seen none of it, the request can be
+/// run again on another engine if the engine is lost.
 async fn collect(
     cx: &EntryCx,
     mut generation: Generation,
-    shape: &ChunkShape,
+    format: &ChunkFormat,
 ) -> Result<Response<Body>, Problem> {
     let mut text = String::new();
     let (tokens, reason): (u64, FinishReason) = loop {
         match generation.next().await {
-            StreamStep::Deliver { text: piece, .. } => text.push_str(&piece),
+            StreamStep::Deliver { text: token, .. } => text.push_str(&token),
             StreamStep::Rerun => text.clear(),
             StreamStep::Finish { tokens, reason } => break (tokens, reason),
             StreamStep::Fail { cause } => {
@@ -328,6 +345,6 @@
             _ => {}
         }
     };
-    let whole = shape.whole(&text, generation.job().prompt_tokens(), tokens, reason);
-    Ok(json_response(StatusCode::OK, &whole, Outcome::Done))
+    let answer = format.complete(&text, generation.job().prompt_tokens(), tokens, reason);
+    Ok(json_response(StatusCode::OK, &answer, Outcome::Done))
 }
--- a/crates/hatchpitch/src/entry/context.rs
+++ b/crates/hatchpitch/src/entry/context.rs
@@ -1,4 +1,5 @@
-//! What the tasks of one entry process share. One thread, so plain cells.
+//! State that the tasks of one entry process share. They run on one thread, so `Cell` and `RefCell`
+//! suffice.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -37,20 +38,21 @@
 use crate::upstream_limits::SharedLimits;
 use crate::upstream_limits::task as upstream_limits;
 
-/// Whether the process takes new work.
+/// Whether the process accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Intake {
-    /// It does.
+    /// It accepts new work.
     Open,
-    /// It left the lists of addresses but still takes what comes.
+    /// It is no longer listed for callers but still accepts new work, as callers may hold an older
+    /// list.
     Leaving,
-    /// It refuses new work and finishes what it has.
+    /// It refuses new work and finishes the requests in progress.
     Closed,
 }
 
-/// Versions of what the gates are made from.
+/// Versions of the inputs from which the gates are configured.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct MadeFrom {
+struct GateInputs {
     config: ConfigNumber,
     members: u64,
     roster: u64,
@@ -75,47 +77,53 @@
     pub claims: ClaimClient,
     /// Client for the control leader.
     pub leader: LeaderClient,
-    /// Crashes of upstreams that this box saw.
+    /// Records crashes of upstreams and the requests that ran there.
     pub quarantine: Observer,
-    /// Limits that upstreams name.
+    /// Request rate limits that upstreams have named.
     pub limits: SharedLimits,
-    /// Rests that upstreams asked this box for.
+    /// Rests that upstreams have asked this box for: times in which it sends them nothing.
     pub rests: SharedRests,
-    /// Upstreams whose limits are to be told to other boxes.
+    /// Upstreams whose limits still have to be sent to other boxes.
     pub limit_news: NewsQueue,
-    /// Upstreams that said in an answer that they leave.
+    /// Upstreams that announced in an answer that they are leaving.
     pub leavers: RefCell<Leavers>,
-    /// Those of which other boxes are to be told.
+    /// Leaving upstreams that still have to be reported to other boxes.
     pub leaver_news: NewsQueue,
-    /// Budgets for runs elsewhere.
-    pub retries: RefCell<RetryBudgets>,
-    /// Whether new work is taken.
+    /// Budgets for running requests again on another engine.
+    pub retry_budgets: RefCell<RetryBudgets>,
+    /// Whether new work is accepted.
     pub intake: Cell<Intake>,
-    /// Turns to move generations off runners that leave.
+    /// Turns for moving generations off leaving runners.
     pub turns: RefCell<Turns>,
-    /// Slots given out to other boxes.
+    /// Slots granted to other boxes.
     pub grants: RefCell<GrantTable>,
-    /// Slots held, by run.
+    /// Slots that this box holds, by attempt.
     pub held: RefCell<HeldSlots>,
+    /// Gates over the engines that this box owns.
     gates: RefCell<HashMap<PoolName, Gate>>,
-    /// Gates over all engines, for when no owner is in reach.
+    /// Gates over all engines of a pool, used while no owner is reachable.
     fallback: RefCell<HashMap<PoolName, Gate>>,
-    /// Upstreams that announce themselves, and the control boxes that tell of them.
+    /// Upstreams that announce themselves, and the control boxes that report them.
     pub upstreams: Rc<Followed>,
-    /// Highest configuration number that a control box was seen to have and that is being
-    /// fetched.
-    pub config_seen: Cell<ConfigNumber>,
-    /// The configuration in force with the upstreams that serve.
+    /// Highest configuration number that a control box has reported and that is being fetched, or
+    /// 0.
+    pub reported_config_number: Cell<ConfigNumber>,
+    /// The configuration in force, with the announced upstreams that serve and without evacuated
+    /// ones.
     view: RefCell<Rc<FleetView>>,
-    /// What the gates were made from.
-    synced: Cell<MadeFrom>,
-    /// Failure domains whose evacuation ended of late, with when that was heard of.
+    /// Inputs from which the gates were last configured.
+    gate_inputs: Cell<GateInputs>,
+    /// Failure domains whose evacuation has ended, with the time at which this box learned of it.
     reopened: RefCell<BTreeMap<FailureDomainName, Instant>>,
     started: Instant,
+    /// Assignment of engines to owner boxes.
     owners: RefCell<OwnerMap>,
+    /// Streams in progress per workspace.
     streams: RefCell<HashMap<WorkspaceName, u64>>,
+    /// Requests in progress.
     active: Cell<usize>,
-    app_turn: Cell<usize>,
+    /// Counter that spreads calls to services over their upstreams.
+    upstream_rotation: Cell<usize>,
 }
 
 impl EntryCx {
@@ -126,8 +134,8 @@
         boxes: BoxClient,
     ) -> Rc<Self> {
         let upstreams = Followed::new(&settings.control);
-        let control = upstreams.clone();
-        let leader = LeaderClient::new(boxes.clone(), move || control.control());
+        let followed = upstreams.clone();
+        let leader = LeaderClient::new(boxes.clone(), move || followed.control());
         Rc::new(Self {
             tracer: Tracer::new(settings.name.clone()),
             settings,
@@ -143,7 +151,7 @@
             limit_news: NewsQueue::default(),
             leavers: RefCell::default(),
             leaver_news: NewsQueue::default(),
-            retries: RefCell::default(),
+            retry_budgets: RefCell::default(),
             intake: Cell::new(Intake::Open),
             turns: RefCell::default(),
             grants: RefCell::default(),
@@ -151,37 +159,38 @@
             gates: RefCell::default(),
             fallback: RefCell::default(),
             upstreams,
-            config_seen: Cell::new(0),
+            reported_config_number: Cell::new(0),
             view: RefCell::default(),
-            synced: Cell::default(),
+            gate_inputs: Cell::default(),
             reopened: RefCell::default(),
             started: clock::now(),
             owners: RefCell::default(),
             streams: RefCell::default(),
             active: Cell::new(0),
-            app_turn: Cell::new(0),
+            upstream_rotation: Cell::new(0),
         })
     }
 
-    /// Returns the gate to the engines of a pool for which this box decides.
+    /// Returns the gate to the engines of a pool that this box owns.
     pub fn gate(&self, pool: &str) -> Gate {
         let mut gates = self.gates.borrow_mut();
         gates.entry(pool.to_owned()).or_insert_with(|| self.new_gate()).clone()
     }
 
-    /// Returns the gate to all engines of a pool, for when no owner is in reach.
+    /// Returns the gate to all engines of a pool, for use while no owner is reachable.
     pub fn fallback_gate(&self, pool: &str) -> Gate {
         let mut gates = self.fallback.borrow_mut();
         let gate = gates.entry(pool.to_owned()).or_insert_with(|| self.new_gate()).clone();
         let view = self.sync_gates();
         if let Some(pool) = view.pools.iter().find(|p| p.pool.name == pool) {
             gate.update(|table| table.sync(pool.runners.iter().map(|r| runner_spec(pool, r))));
-            self.tell_membership(&gate);
-            self.tell_cold(&gate, pool, Placement::Local);
+            self.update_serving(&gate);
+            self.update_cold_limits(&gate, pool, Placement::Local);
         }
         gate
     }
 
+    /// Creates a gate with the policies of the settings.
     fn new_gate(&self) -> Gate {
         let policy = self.settings.policy;
         let admission = AdmissionConfig { order: policy.order, ..AdmissionConfig::default() };
@@ -201,48 +210,49 @@
         self.owners.borrow().owners_of(pool)
     }
 
-    /// Returns whether the box at `addr` decides for an engine in a failure domain.
+    /// Returns whether the box at `addr` owns an engine in a failure domain.
     pub fn owns_in(&self, domain: &str, addr: SocketAddr) -> bool {
         self.owners.borrow().owns_in(domain, addr)
     }
 
-    /// Returns the address of the box that decides for an engine, if any box serves.
+    /// Returns the address of the box that owns an engine, or `None` if no box is serving.
     pub fn owner_addr(&self, runner: &str) -> Option<SocketAddr> {
         self.owners.borrow().owner_addr(runner)
     }
 
-    /// Returns whether this box decides for an engine of a pool.
+    /// Returns whether this box admits requests to an engine of a pool.
     pub fn owns(&self, pool: &PoolView, runner: &str) -> bool {
-        let local = self.placement(pool) == Placement::Local;
-        local || self.owners.borrow().owns(runner)
+        let is_local = self.placement(pool) == Placement::Local;
+        is_local || self.owners.borrow().owns(runner)
     }
 
-    /// Returns who decides for the engines of a pool.
+    /// Returns whether each box admits requests to the engines of a pool or only their owners.
     pub fn placement(&self, pool: &PoolView) -> Placement {
         pool.hosted.map_or(self.settings.policy.placement, |hosted| hosted.placement)
     }
 
-    /// Returns the gates of all pools.
+    /// Returns the gates of all pools over the engines that this box owns.
     pub fn gates(&self) -> Vec<(PoolName, Gate)> {
         self.gates.borrow().iter().map(|(name, gate)| (name.clone(), gate.clone())).collect()
     }
 
-    /// Brings the gates up to the configuration in force and the boxes that serve.
+    /// Updates the gates if the configuration, the upstreams or the serving boxes have changed, and
+    /// returns the current view of the fleet.
     pub fn sync_gates(&self) -> Rc<FleetView> {
         let evacuations = self.config.evacuations();
-        let made_from = MadeFrom {
+        let inputs = GateInputs {
             config: self.config.number(),
             members: self.membership.borrow().version(),
             roster: self.upstreams.roster.borrow().version(),
             evacuations: evacuations.revision(),
         };
-        let former = self.synced.replace(made_from);
-        if former == made_from {
+        let previous = self.gate_inputs.replace(inputs);
+        if previous == inputs {
             return self.view.borrow().clone();
         }
-        let new_view = MadeFrom { members: made_from.members, ..former } != made_from;
-        if new_view {
-            let ended = evacuations.ended_since(former.evacuations).cloned();
+        let view_changed = GateInputs { members: inputs.members, ..previous } != inputs;
+        if view_changed {
+            let ended = evacuations.ended_since(previous.evacuations).cloned();
             let now = clock::now();
             self.reopened.borrow_mut().extend(ended.map(|domain| (domain, now)));
             let roster = self.upstreams.roster.borrow();
@@ -254,28 +264,30 @@
             let membership = self.membership.borrow();
             let boxes: Vec<&MemberRecord> = membership.serving_boxes().collect();
             let mut owners = self.owners.borrow_mut();
-            if new_view {
+            if view_changed {
                 owners.set_engines(&view);
             }
             owners.update(&boxes, membership.own_record())
         };
-        if owners_changed || new_view {
-            self.remake_gates(&view);
+        if owners_changed || view_changed {
+            self.sync_all_gates(&view);
         }
         upstream_limits::place_all(self);
         view
     }
 
-    fn remake_gates(&self, view: &FleetView) {
+    /// Updates the gates of all pools, and empties those of removed pools.
+    fn sync_all_gates(&self, view: &FleetView) {
         for pool in &view.pools {
             self.sync_gate(pool);
         }
-        let gone = |name: &str| !view.pools.iter().any(|p| p.pool.name == name);
-        for (_, gate) in self.gates().iter().filter(|(name, _)| gone(name)) {
+        let is_removed = |name: &str| !view.pools.iter().any(|p| p.pool.name == name);
+        for (_, gate) in self.gates().iter().filter(|(name, _)| is_removed(name)) {
             gate.update(|table| table.sync([]));
         }
     }
 
+    /// Updates the gate of a pool to the configuration and to the engines that this box owns.
     fn sync_gate(&self, pool: &PoolView) {
         let gate = self.gate(&pool.pool.name);
         gate.configure(AdmissionConfig {
@@ -287,104 +299,113 @@
         let owned = pool.runners.iter().filter(|runner| self.owns(pool, &runner.name));
         let specs: Vec<RunnerSpec> = owned.map(|runner| runner_spec(pool, runner)).collect();
         gate.update(|table| table.sync(specs));
-        self.tell_membership(&gate);
-        self.tell_cold(&gate, pool, self.placement(pool));
+        self.update_serving(&gate);
+        self.update_cold_limits(&gate, pool, self.placement(pool));
     }
 
-    /// Returns whether the upstreams of a failure domain get no new work.
+    /// Returns whether a failure domain is evacuated, so that its upstreams get no new work.
     pub fn is_evacuated(&self, domain: &str) -> bool {
         self.config.evacuations().is_evacuated(domain)
     }
 
-    /// Returns the failure domains of some regions, as far as the settings and the configuration
-    /// name them.
+    /// Returns the failure domains that the settings or the configuration assign to these regions.
     pub fn domains_of(&self, regions: &[RegionName]) -> Vec<FailureDomainName> {
         let view = self.config.view();
-        let known = self.settings.regions.iter().chain(&view.regions);
-        let within = known.filter(|(_, region)| regions.contains(region));
+        let assigned = self.settings.regions.iter().chain(&view.regions);
+        let matching = assigned.filter(|(_, region)| regions.contains(region));
         let mut domains: Vec<FailureDomainName> =
-            within.map(|(domain, _)| domain.clone()).collect();
+            matching.map(|(domain, _)| domain.clone()).collect();
         domains.sort_unstable();
         domains.dedup();
         domains
     }
 
-    /// Tells the gate of a pool which of its runners are cold, and what this box may send to them.
-    fn tell_cold(&self, gate: &Gate, pool: &PoolView, placement: Placement) {
+    /// Tells the gate of a pool which of its runners are cold, and at what rate this box may send
+    /// to them.
+    fn update_cold_limits(&self, gate: &Gate, pool: &PoolView, placement: Placement) {
         let Some(cold) = pool.hosted.and_then(|hosted| hosted.cold) else { return };
         let (roster, reopened) = (self.upstreams.roster.borrow(), self.reopened.borrow());
         let senders = match placement {
             Placement::Owner => 1,
-            Placement::Local => self.senders(),
+            Placement::Local => self.sender_count(),
         };
-        let limit = |runner: &str| {
-            let phase = self.phase_at(runner);
+        let cold_limit = |runner: &str| {
+            let phase = self.turn_phase(runner);
             ColdLimit { rate: cold.rate, senders, phase }
         };
-        let until = |spec: &RunnerSpec| {
-            // Its announcements told last what it was before the evacuation ended.
+        let cold_until = |spec: &RunnerSpec| {
+            // The last announcement may describe the runner as it was before the evacuation ended.
             let reopened = reopened.get(&spec.failure_domain);
-            let reopened = reopened.map(|at| *at + cold.lasts.max(ANNOUNCEMENT_WAIT));
-            let told = roster.warm_at(&spec.name);
-            told.into_iter().chain(reopened).max()
+            let reopened = reopened.map(|at| *at + cold.lasts.max(MAX_ANNOUNCEMENT_DELAY));
+            let announced = roster.warm_at(&spec.name);
+            announced.into_iter().chain(reopened).max()
         };
         let now = clock::now();
         gate.update(|table| {
-            table.set_cold(|spec| until(spec).map(|until| (until, limit(&spec.name))), now);
+            table.set_cold(
+                |spec| cold_until(spec).map(|until| (until, cold_limit(&spec.name))),
+                now,
+            );
         });
     }
 
-    /// Returns how many boxes send to an upstream, each by its own decision: all that were known
-    /// of late, as those that cannot be reached may go on sending.
-    fn senders(&self) -> usize {
+    /// Returns how many boxes may be sending to an upstream, each by its own decision. Counts all
+    /// boxes in the membership, also unreachable ones, as they may go on sending.
+    fn sender_count(&self) -> usize {
         let membership = self.membership.borrow();
         let boxes = membership.records().filter(|r| matches!(r.subject, Subject::Box(_))).count();
-        let least = if clock::since(self.started) < ACQUAINTED { SENDERS_AT_START } else { 1 };
-        boxes.max(least)
+        let min_senders =
+            if clock::since(self.started) < DISCOVERY_TIME { ASSUMED_BOXES_AT_START } else { 1 };
+        boxes.max(min_senders)
     }
 
-    /// Returns the part of a limit of an upstream that the boxes in reach may use: boxes that were
-    /// lost of late may be cut off with some callers and upstreams, and keep their part.
+    /// Returns the share of an upstream's limit that the reachable boxes may use, from 0 to 1.
+    /// Boxes lost recently keep their share, as they may be partitioned away together with some
+    /// callers and upstreams.
     pub fn part_in_reach(&self) -> f64 {
         let membership = self.membership.borrow();
         let serving = membership.serving_boxes().count().max(1);
-        let lost = membership.lost_boxes(clock::now(), MAY_BE_CUT_OFF);
-        // All boxes may have started at once, each without knowing of the others.
-        let is_new = serving == 1 && clock::since(self.started) < ACQUAINTED;
-        let all = if is_new { SENDERS_AT_START } else { serving + lost };
-        serving as f64 / all as f64
+        let lost = membership.lost_boxes(clock::now(), MAX_PARTITION_TIME);
+        // All boxes may have started at the same time and not have discovered each other yet.
+        let is_new = serving == 1 && clock::since(self.started) < DISCOVERY_TIME;
+        let total = if is_new { ASSUMED_BOXES_AT_START } else { serving + lost };
+        serving as f64 / total as f64
     }
 
-    /// Returns where this box's turn at a cold runner lies among those of the others.
-    fn phase_at(&self, runner: &str) -> f64 {
-        let bytes = [self.settings.name.as_bytes(), runner.as_bytes()].concat();
-        XxHash64::oneshot(0, &bytes) as f64 / u64::MAX as f64
+    /// Returns the offset of this box's turn at a cold runner within the period that all boxes
+    /// share, from 0 to 1. It is a hash of both names, so that the turns of the boxes are spread
+    /// out.
+    fn turn_phase(&self, runner: &str) -> f64 {
+        let key = [self.settings.name.as_bytes(), runner.as_bytes()].concat();
+        XxHash64::oneshot(0, &key) as f64 / u64::MAX as f64
     }
 
-    /// Tells the gate of a pool which of its runners membership lets serve.
+    /// Tells the gate of a pool which of its runners accept new work.
     pub fn apply_membership(&self, pool: &str) {
-        self.tell_membership(&self.gate(pool));
+        self.update_serving(&self.gate(pool));
     }
 
-    fn tell_membership(&self, gate: &Gate) {
+    /// Tells a gate which of its runners accept new work.
+    fn update_serving(&self, gate: &Gate) {
         let serves = |runner: &str| self.upstream_serves(runner);
         gate.update(|table| table.set_serving(serves));
     }
 
-    /// Tells the gates of all pools which of their runners leave.
+    /// Tells the gates of all pools which of their runners accept new work, after one began to
+    /// leave.
     pub fn apply_leaving(&self) {
         for (_, gate) in self.gates() {
-            self.tell_membership(&gate);
+            self.update_serving(&gate);
         }
     }
 
-    /// Returns whether an upstream takes new work, by its membership, its announcements and its own
-    /// answers.
+    /// Returns whether an upstream accepts new work, according to the membership, its announcements
+    /// and its answers.
     pub fn upstream_serves(&self, name: &str) -> bool {
         let roster = self.upstreams.roster.borrow();
-        let leaves = roster.get(name).is_some_and(|record| record.phase == Phase::Leaving)
+        let is_leaving = roster.get(name).is_some_and(|record| record.phase == Phase::Leaving)
             || self.leavers.borrow().contains(name, clock::now());
-        !leaves && self.membership.borrow().upstream_serves(name)
+        !is_leaving && self.membership.borrow().upstream_serves(name)
     }
 
     /// Returns whether the configuration is fresh enough for new work.
@@ -397,30 +418,32 @@
         self.membership.borrow().peers_confirm(number, clock::now(), max_age)
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether callers should be directed to this box.
     pub fn takes_work(&self) -> bool {
         self.intake.get() == Intake::Open && self.config.number() > 0 && self.config_is_fresh()
     }
 
-    /// Waits a little for a box that has just started to learn the configuration: callers are
-    /// better served late than refused, and after a restart of the core it takes an election. A
-    /// caller that tells how long it waits is refused early enough to try another box.
-    pub async fn await_config(&self, caller_waits: Option<Duration>) {
-        let limit =
-            caller_waits.map_or(CONFIG_WAIT, |waits| (waits / CONFIG_WAIT_SHARE).min(CONFIG_WAIT));
+    /// Waits until this box has a fresh configuration, for at most [`MAX_CONFIG_WAIT`]. After a
+    /// start the configuration may be missing until the control boxes have elected a leader, and a
+    /// late answer is better for callers than a refusal. For a caller with a time limit the wait is
+    /// shorter, so that it can still try another box.
+    pub async fn await_config(&self, caller_timeout: Option<Duration>) {
+        let limit = caller_timeout.map_or(MAX_CONFIG_WAIT, |timeout| {
+            (timeout / CONFIG_WAIT_DIVISOR).min(MAX_CONFIG_WAIT)
+        });
         let started = clock::now();
         while (self.config.number() == 0 || !self.config_is_fresh())
             && clock::since(started) < limit
         {
-            compio::time::sleep(CONFIG_LOOK).await;
+            compio::time::sleep(CONFIG_POLL_INTERVAL).await;
         }
     }
 
-    /// Refuses new work while the box stops or its configuration may be old.
+    /// Checks that the box is not stopping and that its configuration is fresh.
     ///
     /// # Errors
     ///
-    /// Returns the refusal, with when to come back.
+    /// Returns the problem with which new work is refused, with the time after which to retry.
     pub fn check_intake(&self) -> Result<(), Problem> {
         if self.intake.get() == Intake::Closed {
             let message = "this box is stopping; use another one";
@@ -441,7 +464,7 @@
         Ok(())
     }
 
-    /// Returns an upstream with the bounds of this box.
+    /// Returns the client of an upstream with the connect timeout of this box.
     pub fn upstream(&self, addr: SocketAddr) -> Upstream {
         Upstream { addr, connect_timeout: self.settings.timing.connect_timeout }
     }
@@ -457,7 +480,8 @@
         ActiveGuard(self.clone())
     }
 
-    /// Takes one of a workspace's streams, or `None` if it holds as many as it may.
+    /// Counts a stream of a workspace until the guard is dropped. Returns `None` if the workspace
+    /// already has `max` streams.
     pub fn begin_stream(self: &Rc<Self>, workspace: &str, max: u64) -> Option<StreamGuard> {
         let mut streams = self.streams.borrow_mut();
         let held = streams.entry(workspace.to_owned()).or_default();
@@ -468,7 +492,7 @@
         Some(StreamGuard { cx: self.clone(), workspace: workspace.to_owned() })
     }
 
-    /// Returns streams in progress a workspace.
+    /// Returns the number of streams in progress per workspace, sorted by name.
     pub fn stream_counts(&self) -> Vec<(WorkspaceName, u64)> {
         let mut counts: Vec<_> =
             self.streams.borrow().iter().map(|(name, n)| (name.clone(), *n)).collect();
@@ -476,38 +500,41 @@
         counts
     }
 
-    /// Returns a number that differs from call to call, to spread calls over upstreams.
-    pub fn next_turn(&self) -> usize {
-        let turn = self.app_turn.get();
-        self.app_turn.set(turn.wrapping_add(1));
-        turn
+    /// Returns the next value of a wrapping counter, used to spread calls over upstreams.
+    pub fn next_rotation(&self) -> usize {
+        let rotation = self.upstream_rotation.get();
+        self.upstream_rotation.set(rotation.wrapping_add(1));
+        rotation
     }
 
-    /// Returns the time after which a refused caller may try this or another box again.
+    /// Returns the time after which a refused caller may retry at this or another box.
     pub fn short_retry(&self) -> Duration {
         Duration::from_secs(1)
     }
 }
 
-/// Time within which a runner tells that it has become cold: one heartbeat and its travel.
-const ANNOUNCEMENT_WAIT: Duration = Duration::from_millis(1_500);
-/// Time for which a lost box may be cut off and at work: a box that was killed is back far sooner,
-/// and one that is gone for good costs its part of limits for so long.
-const MAY_BE_CUT_OFF: Duration = Duration::from_secs(60);
-/// Time after its start in which a box comes to know the others.
-const ACQUAINTED: Duration = Duration::from_secs(5);
-/// Boxes that a box takes the fleet to have until then: after a loss of all they start together,
-/// and each knows a few of them only.
-const SENDERS_AT_START: usize = 64;
-/// Longest time that a request waits for this box to learn the configuration: a start, an
-/// election and the travel of the answer.
-const CONFIG_WAIT: Duration = Duration::from_millis(2_000);
-/// Part of the time that a caller waits for which its request waits for the configuration: two
-/// further tries fit, which may reach boxes that have it.
-const CONFIG_WAIT_SHARE: u32 = 3;
-/// Time between looks for the configuration.
-const CONFIG_LOOK: Duration = Duration::from_millis(20);
-
+/// Maximum time until the announcement of a runner that became cold arrives: one heartbeat interval
+/// and the delivery.
+const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(1_500);
+/// Time for which a lost box is assumed to be partitioned away and still sending. A box that was
+/// killed is back far sooner; the share of limits of a box that is gone for good stays unused for
+/// this long.
+const MAX_PARTITION_TIME: Duration = Duration::from_secs(60);
+/// Time after its start within which a box discovers the others.
+const DISCOVERY_TIME: Duration = Duration::from_secs(5);
+/// Number of boxes assumed during [`DISCOVERY_TIME`]. After a failure of the whole fleet all boxes
+/// start together, and each knows only a few of the others.
+const ASSUMED_BOXES_AT_START: usize = 64;
+/// Maximum time that a request waits for the configuration. It covers a start, an election and the
+/// delivery of the configuration.
+const MAX_CONFIG_WAIT: Duration = Duration::from_millis(2_000);
+/// Divisor of a caller's time limit that gives the time its request may wait for the configuration.
+/// With 3, two more attempts fit, which may reach boxes that have the configuration.
+const CONFIG_WAIT_DIVISOR: u32 = 3;
+/// Interval at which a waiting request checks for the configuration.
+const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Returns what routing needs to know about a runner.
 fn runner_spec(pool: &PoolView, runner: &Runner) -> RunnerSpec {
     RunnerSpec {
         name: runner.name.clone(),
@@ -519,7 +546,7 @@
     }
 }
 
-/// A request in progress.
+/// Guard that counts a request in progress until it is dropped.
 pub struct ActiveGuard(Rc<EntryCx>);
 
 impl Drop for ActiveGuard {
@@ -528,7 +555,7 @@
     }
 }
 
-/// A stream of a workspace.
+/// Guard that counts a stream of a workspace until it is dropped.
 pub struct StreamGuard {
     cx: Rc<EntryCx>,
     workspace: WorkspaceName,
--- a/crates/hatchpitch/src/entry/daemon.rs
+++ b/crates/hatchpitch/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! Wires an entry process: listeners, tasks, and the planned stop.
+//! Runs an entry process: its listeners, its tasks and its graceful shutdown.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::logging::unix_ms;
 use crate::membership::messages::{MemberRecord, MemberStatus, Subject};
 use crate::membership::state::{Membership, MembershipConfig};
-use crate::membership::task;
+use crate::membership::task as membership_task;
 use crate::pressure;
 use crate::registry::follow::{self, OrderHints};
 use crate::routing::task as routing;
@@ -27,13 +27,14 @@
 use crate::signals;
 use crate::upstream_limits::task as upstream_limits;
 
-/// Time for the feed to bring a configuration that a control box tells of: it is far below the
-/// second within which a change has to be in force, and above a usual delivery.
-const FEED_PATIENCE: Duration = Duration::from_millis(400);
-/// How often the planned stop looks whether requests are still in progress.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+/// Time allowed for the feed to deliver a configuration that a control box reports, before it is
+/// fetched directly. It is longer than a usual delivery and far below the second within which a
+/// change has to be in force.
+const FEED_DELIVERY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval at which startup and shutdown check whether they can proceed.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an entry process until it is asked to stop and every request has its answer.
+/// Runs an entry process until it is asked to stop and every request in progress has its answer.
 ///
 /// # Errors
 ///
@@ -42,12 +43,12 @@
     run_with(settings, |_| Vec::new(), |_| {}).await
 }
 
-/// Runs an entry process that serves further listeners beside its own. `reloaded` is called
-/// when the settings file may have changed.
+/// Runs an entry process with additional listeners. `reloaded` is called when the settings file may
+/// have changed.
 ///
 /// # Errors
 ///
-/// Returns an error as [`run`] does.
+/// Returns an error that names the listener that could not be opened.
 pub async fn run_with(
     settings: EntrySettings,
     extra: impl FnOnce(&Rc<EntryCx>) -> Vec<ExtraListener>,
@@ -65,8 +66,13 @@
 
     let (stop_handle, stop) = stop_pair();
     let mut listeners = vec![
-        compio::runtime::spawn(serve(callers, limits(&cx), callers_handler(&cx), stop.clone())),
-        compio::runtime::spawn(serve(boxes, limits(&cx), boxes_handler(&cx), stop.clone())),
+        compio::runtime::spawn(serve(
+            callers,
+            server_limits(&cx),
+            callers_handler(&cx),
+            stop.clone(),
+        )),
+        compio::runtime::spawn(serve(boxes, server_limits(&cx), boxes_handler(&cx), stop.clone())),
     ];
     listeners.extend(listener::open(extra(&cx), listen_ip, &stop).await?);
     spawn_tasks(&cx, &stop);
@@ -75,27 +81,27 @@
 
     signals::stop_requested().await?;
     begin_drain(&cx);
-    let cut_short = signals::stop_requested().fuse();
+    let second_stop = signals::stop_requested().fuse();
     let drained = drained(&cx).fuse();
-    futures_util::pin_mut!(cut_short, drained);
+    futures_util::pin_mut!(second_stop, drained);
     futures_util::select! {
         () = drained => log::info!("every request has its answer"),
-        _ = cut_short => log::warn!("cut short with {} requests in progress", cx.active()),
+        _ = second_stop => log::warn!("cut short with {} requests in progress", cx.active()),
     }
     drop(stop_handle);
     listener::ended(listeners).await;
     Ok(())
 }
 
-/// Begins the planned stop: leaves the lists of addresses, and closes the intake
-/// once no caller can hold a list that names this box.
+/// Begins the graceful shutdown: announces that this box leaves, so that it is no longer listed for
+/// callers, and closes the intake once every list that names this box has expired.
 pub fn begin_drain(cx: &Rc<EntryCx>) {
     if cx.intake.get() != Intake::Open {
         return;
     }
     cx.intake.set(Intake::Leaving);
     let actions = cx.membership.borrow_mut().leave(clock::now());
-    task::perform(&cx.membership, &cx.boxes, actions);
+    membership_task::perform(&cx.membership, &cx.boxes, actions);
     let cx = cx.clone();
     compio::runtime::spawn(async move {
         compio::time::sleep(cx.settings.timing.stop_grace).await;
@@ -105,38 +111,41 @@
     .detach();
 }
 
-/// Resolves once the intake is closed and no request is in progress.
+/// Waits until the intake is closed and no request is in progress.
 async fn drained(cx: &EntryCx) {
     while cx.intake.get() != Intake::Closed || cx.active() > 0 {
-        compio::time::sleep(DRAIN_POLL).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
+/// Starts the background tasks of the process.
 fn spawn_tasks(cx: &Rc<EntryCx>, stop: &Stop) {
     let membership = cx.membership.clone();
     let seeds = cx.settings.seeds.clone();
-    let (joining, client, membership_stop) = (cx.clone(), cx.boxes.clone(), stop.clone());
+    let (membership_cx, client, membership_stop) = (cx.clone(), cx.boxes.clone(), stop.clone());
     spawn_essential("membership", async move {
-        // Others send callers to every box that they know, so one joins once it can serve.
-        while joining.config.confirmed_age().is_none() && !membership_stop.is_set() {
-            compio::time::sleep(DRAIN_POLL).await;
+        // Other boxes direct callers to every box they know, so a box joins only once it can serve.
+        while membership_cx.config.confirmed_age().is_none() && !membership_stop.is_set() {
+            compio::time::sleep(POLL_INTERVAL).await;
         }
-        task::run(membership, client, seeds, membership_stop).await;
+        membership_task::run(membership, client, seeds, membership_stop).await;
     });
     let followed = cx.upstreams.clone();
-    let (numbered, fetching) = (cx.clone(), cx.clone());
-    let (at_revision, evacuating) = (cx.clone(), cx.clone());
-    let (listed, listing) = (cx.clone(), cx.clone());
+    let (number_cx, fetch_cx) = (cx.clone(), cx.clone());
+    let (evacuation_revision_cx, evacuation_cx) = (cx.clone(), cx.clone());
+    let (quarantine_revision_cx, quarantine_cx) = (cx.clone(), cx.clone());
     let hints = OrderHints {
-        number: Rc::new(move || numbered.config.number().max(numbered.config_seen.get())),
-        newer_at: Rc::new(move |source, number| fetch_config(&fetching, source, number)),
-        evacuations: Rc::new(move || at_revision.config.evacuations().revision()),
+        number: Rc::new(move || {
+            number_cx.config.number().max(number_cx.reported_config_number.get())
+        }),
+        newer_at: Rc::new(move |source, number| fetch_config(&fetch_cx, source, number)),
+        evacuations: Rc::new(move || evacuation_revision_cx.config.evacuations().revision()),
         evacuated: Rc::new(move |evacuations| {
-            evacuating.config.set_evacuations(evacuations);
+            evacuation_cx.config.set_evacuations(evacuations);
         }),
-        quarantine: Rc::new(move || listed.config.quarantine().revision),
+        quarantine: Rc::new(move || quarantine_revision_cx.config.quarantine().revision),
         quarantined: Rc::new(move |list| {
-            listing.config.set_quarantine(list);
+            quarantine_cx.config.set_quarantine(list);
         }),
     };
     let name = cx.settings.name.clone();
@@ -150,44 +159,47 @@
     spawn_essential("hand-over", grants::hand_over(cx.clone(), stop.clone()));
 }
 
-/// Fetches a configuration from a control box that was seen to have it, unless the feed brings
-/// it first: it is brought once, whichever control boxes tell of it.
+/// Fetches a configuration from a control box that reported it, unless the feed delivers it first.
+/// It is fetched once, however many control boxes report it.
 fn fetch_config(cx: &Rc<EntryCx>, source: SocketAddr, number: ConfigNumber) {
-    if cx.config_seen.get() >= number || cx.config.is_arriving() {
+    if cx.reported_config_number.get() >= number || cx.config.is_arriving() {
         return;
     }
-    cx.config_seen.set(number);
+    cx.reported_config_number.set(number);
     let cx = cx.clone();
     compio::runtime::spawn(async move {
         if cx.config.number() > 0 {
-            compio::time::sleep(FEED_PATIENCE).await;
+            compio::time::sleep(FEED_DELIVERY_TIMEOUT).await;
         }
         if cx.config.number() < number {
             feed::fetch(&cx.settings.name, &cx.config, &cx.boxes, source, Duration::ZERO).await;
         }
         if cx.config.number() < number {
-            log::info!("configuration {number} was not fetched from {source}");
-            // The next control box that tells of it is asked.
-            cx.config_seen.set(0);
+            log::info!("could not fetch configuration {number} from {source}");
+            // Lets the next control box that reports it be asked.
+            cx.reported_config_number.set(0);
         }
     })
     .detach();
 }
 
+/// Keeps the configuration up to date from the feed.
 async fn follow_config(cx: Rc<EntryCx>, stop: Stop) {
-    let find = || config_parents(&cx);
-    feed::follow(cx.settings.name.clone(), &cx.config, &cx.boxes, find, stop).await;
+    let find_parents = || feed_parents(&cx);
+    feed::follow(cx.settings.name.clone(), &cx.config, &cx.boxes, find_parents, stop).await;
 }
 
-fn config_parents(cx: &EntryCx) -> Vec<SocketAddr> {
+/// Returns the boxes from which this box fetches the configuration.
+fn feed_parents(cx: &EntryCx) -> Vec<SocketAddr> {
     let membership = cx.membership.borrow();
     let own = membership.own_record().subject.clone();
-    let live: Vec<&MemberRecord> = membership.serving_boxes().collect();
-    let position = live.iter().position(|r| r.subject == own).unwrap_or(0);
-    let addrs: Vec<SocketAddr> = live.iter().map(|r| r.box_addr).collect();
+    let serving: Vec<&MemberRecord> = membership.serving_boxes().collect();
+    let position = serving.iter().position(|r| r.subject == own).unwrap_or(0);
+    let addrs: Vec<SocketAddr> = serving.iter().map(|r| r.box_addr).collect();
     feed::parents(position, &addrs, &cx.upstreams.control(), cx.settings.limits.feed_fanout)
 }
 
+/// Creates the membership with this box as its first member.
 fn new_membership(settings: &EntrySettings) -> Membership {
     let own = MemberRecord {
         subject: Subject::Box(settings.name.clone()),
@@ -200,7 +212,7 @@
     Membership::new(own, MembershipConfig::default(), rand::random(), clock::now())
 }
 
-fn limits(cx: &EntryCx) -> ServerLimits {
+fn server_limits(cx: &EntryCx) -> ServerLimits {
     ServerLimits { connections: cx.settings.limits.max_connections, ..ServerLimits::default() }
 }
 
--- a/crates/hatchpitch/src/entry/generation.rs
+++ b/crates/hatchpitch/src/entry/generation.rs
@@ -1,4 +1,5 @@
-//! Drives one answer: opens attempts at engines and feeds [`StreamState`].
+//! Produces one answer: opens streams at engines, feeds their events to [`StreamState`] and carries
+//! out its steps.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -20,40 +21,43 @@
 use crate::trace::Span;
 use crate::upstream_heads::{HeadSignals, task as upstream_heads};
 
-/// Rest before the second link to an engine; it doubles with each further one.
-const RELINK_REST: Duration = Duration::from_millis(50);
-/// Tries to cancel a generation whose runner rests or is at its limit, and the rest between them: together
-/// about the time that an answer takes which nobody reads.
-const CANCEL_TRIES: usize = 20;
-const CANCEL_REST: Duration = Duration::from_millis(500);
-/// Characters of prompt that count as one token where the engine has not counted yet.
+/// Delay before the second attempt to reconnect to an engine. It doubles with each further attempt.
+const RELINK_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of attempts to get a permit for cancelling a generation whose runner rests or is
+/// at its limit. With [`CANCEL_RETRY_DELAY`] they take about as long as an answer that nobody
+/// reads.
+const MAX_CANCEL_ATTEMPTS: usize = 20;
+/// Delay between two attempts to get a permit for cancelling a generation.
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Characters per token, for estimating the length of a prompt that no engine has tokenized.
 const CHARS_PER_TOKEN: u64 = 4;
 
-/// A checked request for a generation.
+/// A validated request for a generation.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Who asks.
+    /// Workspace of the caller.
     pub workspace: WorkspaceName,
-    /// What it pays for.
+    /// Priority of the workspace.
     pub priority: Priority,
-    /// The pool that holds the model.
+    /// Pool that serves the model.
     pub pool: PoolName,
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Bound on the output, in tokens.
+    /// Maximum length of the output, in tokens.
     pub max_tokens: u64,
-    /// Seed for a repeatable output.
+    /// Sampling seed for reproducible output.
     pub seed: Option<u64>,
-    /// Whether tokens go to the caller as they come.
-    pub streams: bool,
-    /// Silence after which a link is remade.
+    /// Whether tokens are sent to the caller as they are generated.
+    pub is_streamed: bool,
+    /// Time without an event after which the connection to the engine is replaced.
     pub silence_limit: Duration,
 }
 
 impl Job {
-    /// Names what is asked, whatever box it is sent to; the priority is not part of it.
+    /// Returns the identity of the requested content. It is the same at every box and does not
+    /// depend on the priority.
     fn content(&self) -> ContentId {
         ContentId::of(&[
             b"generation",
@@ -66,53 +70,58 @@
         ])
     }
 
-    /// Returns the tokens of the prompt, roughly.
+    /// Returns the estimated length of the prompt, in tokens.
     pub fn prompt_tokens(&self) -> u64 {
         self.prompt.chars().count() as u64 / CHARS_PER_TOKEN + 1
     }
 }
 
-/// Why no answer could begin.
+/// Reason why no answer could be started.
 #[derive(Debug)]
 pub enum StartError {
-    /// No runner took the request; it was not run.
+    /// No runner accepted the request; it was not run.
     Refused(Refusal),
-    /// It crashes what runs it; it was not run.
-    Held(Problem),
+    /// The request is quarantined because it crashes upstreams; it was not run.
+    Quarantined(Problem),
     /// Runners failed before the first token.
     Failed {
-        /// Why.
+        /// Cause of the last failure.
         cause: String,
-        /// Whether any runner can have run it.
+        /// Whether any runner may have run the request.
         ran: bool,
     },
 }
 
-/// One answer in progress. Dropping it cancels the generation unless another
-/// box has resumed it.
+/// One answer in progress. Dropping it cancels the generation unless another box has resumed it.
 pub struct Generation {
     cx: Rc<EntryCx>,
     job: Job,
     state: StreamState,
+    /// Slot at the runner; `None` if another box started the answer or while a new slot is
+    /// obtained.
     slot: Option<Slot>,
     upstream: hatchpitch_net::Upstream,
     runner: RunnerName,
     reader: Option<EventReader>,
+    /// Runners that failed and are not chosen again.
     failed_runners: Vec<RunnerName>,
-    /// What is asked; unknown where another box began the answer.
+    /// Identity of the requested content; `None` if another box started the answer.
     content: Option<ContentId>,
-    /// When the runner made its first token, if it did.
-    begun: Option<Instant>,
-    relink_rest: Duration,
+    /// Time of the first token of the current generation, if there was one.
+    first_token_at: Option<Instant>,
+    /// Delay before the next attempt to reconnect.
+    relink_delay: Duration,
+    /// Whether any runner may have run the request.
     ran: bool,
     span: Span,
-    _streams: StreamGuard,
+    _stream_guard: StreamGuard,
     started: Instant,
-    last_progress: Instant,
+    /// Time of the last token, or of the start.
+    last_token_at: Instant,
 }
 
 impl Generation {
-    /// Waits for a runner and starts the generation there.
+    /// Waits for a slot at a runner and starts the generation there.
     ///
     /// # Errors
     ///
@@ -121,16 +130,16 @@
         cx: Rc<EntryCx>,
         job: Job,
         span: Span,
-        streams: StreamGuard,
+        stream_guard: StreamGuard,
     ) -> Result<Self, StartError> {
-        cx.retries.borrow_mut().earn(&job.workspace, &job.pool);
+        cx.retry_budgets.borrow_mut().earn(&job.workspace, &job.pool);
         let content = job.content();
-        observer::check(&cx, &content).map_err(StartError::Held)?;
+        observer::check(&cx, &content).map_err(StartError::Quarantined)?;
         let started = clock::now();
-        let slot = admit(&cx, &job, &[], &span).await.map_err(StartError::Refused)?;
+        let slot = obtain_slot(&cx, &job, &[], &span).await.map_err(StartError::Refused)?;
         cx.metrics.time(Timing::Wait, &job.pool, job.priority, clock::since(started));
         let limits = StreamLimits::default();
-        let state = StreamState::new(new_id(), new_id(), job.streams, limits);
+        let state = StreamState::new(new_id(), new_id(), job.is_streamed, limits);
         let mut generation = Self {
             upstream: cx.upstream(slot.addr),
             runner: slot.runner.clone(),
@@ -141,13 +150,13 @@
             reader: None,
             failed_runners: Vec::new(),
             content: Some(content),
-            begun: None,
-            relink_rest: RELINK_REST,
+            first_token_at: None,
+            relink_delay: RELINK_DELAY,
             ran: false,
             span,
-            _streams: streams,
+            _stream_guard: stream_guard,
             started,
-            last_progress: started,
+            last_token_at: started,
         };
         match generation.open().await {
             StreamStep::Fail { cause } => Err(StartError::Failed { cause, ran: generation.ran }),
@@ -155,7 +164,7 @@
         }
     }
 
-    /// Resumes an answer that began at another box, from token `next` on.
+    /// Resumes an answer that another box started, from token index `next` on.
     pub async fn resume(
         cx: Rc<EntryCx>,
         job: Job,
@@ -163,7 +172,7 @@
         generation: GenerationId,
         next: u64,
         span: Span,
-        streams: StreamGuard,
+        stream_guard: StreamGuard,
     ) -> Result<Self, StartError> {
         let started = clock::now();
         let mut resumed = Self {
@@ -176,13 +185,13 @@
             reader: None,
             failed_runners: Vec::new(),
             content: None,
-            begun: None,
-            relink_rest: RELINK_REST,
+            first_token_at: None,
+            relink_delay: RELINK_DELAY,
             ran: true,
             span,
-            _streams: streams,
+            _stream_guard: stream_guard,
             started,
-            last_progress: started,
+            last_token_at: started,
         };
         match resumed.relink(next).await {
             StreamStep::Fail { cause } => Err(StartError::Failed { cause, ran: true }),
@@ -190,12 +199,12 @@
         }
     }
 
-    /// Returns the runner that the answer comes from now.
+    /// Returns the runner that currently generates the answer.
     pub fn runner(&self) -> &RunnerName {
         &self.runner
     }
 
-    /// Returns the generation that the answer comes from now.
+    /// Returns the id of the current generation.
     pub fn id(&self) -> &str {
         self.state.generation()
     }
@@ -205,26 +214,27 @@
         &self.job
     }
 
-    /// Returns whether any runner can have run the request.
+    /// Returns whether any runner may have run the request.
     pub fn ran(&self) -> bool {
         self.ran
     }
 
     /// Waits for the next step that concerns the caller.
     ///
-    /// [`StreamStep::Nothing`] comes from time to time and shows that the engine lives;
-    /// [`StreamStep::Rerun`] tells that what was collected so far is void.
+    /// [`StreamStep::Nothing`] is returned now and then and shows that the engine is alive.
+    /// [`StreamStep::Rerun`] means that all text returned so far has to be discarded.
     pub async fn next(&mut self) -> StreamStep {
         loop {
             let step = self.read_step().await;
-            match self.handle(step).await {
+            match self.handle_step(step).await {
                 Some(step) => return step,
                 None => continue,
             }
         }
     }
 
-    async fn handle(&mut self, step: StreamStep) -> Option<StreamStep> {
+    /// Carries out a step; returns the step that the caller has to act on, if any.
+    async fn handle_step(&mut self, step: StreamStep) -> Option<StreamStep> {
         match step {
             StreamStep::Drop => {
                 self.cx.metrics.count(Count::DroppedMessages, &self.job.pool);
@@ -244,17 +254,18 @@
                 other => Some(other),
             },
             StreamStep::Deliver { .. } => {
-                self.note_progress();
+                self.record_token();
                 Some(step)
             }
             StreamStep::Finish { tokens, .. } => {
-                self.note_finish(tokens);
+                self.record_finish(tokens);
                 Some(step)
             }
             StreamStep::Nothing | StreamStep::Fail { .. } => Some(step),
         }
     }
 
+    /// Reads the next event from the engine and returns the step that follows from it.
     async fn read_step(&mut self) -> StreamStep {
         let silence = self.job.silence_limit;
         let Some(reader) = self.reader.as_mut() else {
@@ -263,18 +274,18 @@
         match compio::time::timeout(silence, reader.next()).await {
             Ok(Ok(Some(event))) => self.state.on_event(event),
             Ok(Ok(None)) => {
-                self.note_break();
+                self.report_interruption();
                 self.state.on_link_lost("the engine closed the stream")
             }
             Ok(Err(err)) => {
-                self.note_break();
+                self.report_interruption();
                 self.state.on_link_lost(&err.to_string())
             }
             Err(_) => self.state.on_link_lost("the engine fell silent"),
         }
     }
 
-    /// Opens the first link of a new generation; on failure goes on to other runners.
+    /// Starts a generation, trying other runners if one fails.
     async fn open(&mut self) -> StreamStep {
         loop {
             match self.generate().await {
@@ -290,6 +301,7 @@
         }
     }
 
+    /// Sends the request to the current runner and opens the event stream.
     async fn generate(&mut self) -> Result<(), EngineError> {
         let mut span = self.span.child("engine.generate");
         span.note("runner", &self.runner);
@@ -303,7 +315,7 @@
             seed: self.job.seed,
         };
         let head_timeout = self.cx.settings.timing.head_timeout;
-        let (trace, on_head) = (span.traceparent(), self.on_head());
+        let (trace, on_head) = (span.traceparent(), self.head_callback());
         let opened = adapter::generate(&self.upstream, &req, &trace, head_timeout, &on_head).await;
         match opened {
             Ok(reader) => {
@@ -313,12 +325,12 @@
             }
             Err(err) => {
                 span.note("error", &err);
-                log::info!("generate at {}: {err}", self.runner);
+                log::info!("could not start a generation at {}: {err}", self.runner);
                 self.ran |= !err.is_not_run();
                 if matches!(err, EngineError::Send(_)) {
-                    self.runner_failed();
+                    self.record_runner_failure();
                     if !err.is_not_run() {
-                        self.note_break();
+                        self.report_interruption();
                     }
                 }
                 Err(err)
@@ -326,7 +338,7 @@
         }
     }
 
-    /// Opens a new link to the same generation.
+    /// Reconnects to the same generation, from token index `from` on.
     async fn relink(&mut self, from: u64) -> StreamStep {
         self.reader = None;
         self.cx.metrics.count(Count::Relinks, &self.job.pool);
@@ -339,18 +351,18 @@
             let (id, attempt) = (self.state.generation(), self.state.attempt());
             let trace = span.traceparent();
             upstream_heads::await_rest(&self.cx, &self.runner, head_timeout).await;
-            let may_send = upstream_heads::obtain_in_advance(&self.cx, &self.runner).await;
-            let on_head = self.on_head();
+            let permit = upstream_heads::obtain_in_advance(&self.cx, &self.runner).await;
+            let on_head = self.head_callback();
             let link =
                 adapter::ResumeRequest { generation: id, attempt, from, traceparent: &trace };
-            let opened = match may_send {
+            let opened = match permit {
                 Ok(()) => adapter::resume(&self.upstream, link, head_timeout, &on_head).await,
                 Err(cause) => Err(EngineError::Closed(cause)),
             };
             let step = match opened {
                 Ok(reader) => {
                     self.reader = Some(reader);
-                    self.relink_rest = RELINK_REST;
+                    self.relink_delay = RELINK_DELAY;
                     return StreamStep::Nothing;
                 }
                 Err(EngineError::Refused { cause, .. }) => self.state.on_generation_lost(&cause),
@@ -361,8 +373,8 @@
             };
             match step {
                 StreamStep::Relink { .. } => {
-                    compio::time::sleep(self.relink_rest).await;
-                    self.relink_rest *= 2;
+                    compio::time::sleep(self.relink_delay).await;
+                    self.relink_delay *= 2;
                 }
                 StreamStep::Rerun => {
                     return match self.rerun().await {
@@ -371,16 +383,16 @@
                     };
                 }
                 other => {
-                    self.runner_failed();
+                    self.record_runner_failure();
                     return other;
                 }
             }
         }
     }
 
-    /// Runs the request anew at another runner. The caller has seen nothing of the old run.
+    /// Runs the request again on another runner. Only valid while the caller has received no token.
     async fn rerun(&mut self) -> StreamStep {
-        self.runner_failed();
+        self.record_runner_failure();
         self.cancel_now();
         match self.move_to_other_runner("the engine lost the generation").await {
             StreamStep::Nothing => self.open().await,
@@ -388,57 +400,61 @@
         }
     }
 
+    /// Obtains a slot at another runner within the retry budget.
     async fn move_to_other_runner(&mut self, cause: &str) -> StreamStep {
         self.reader = None;
         self.slot = None;
         self.failed_runners.push(self.runner.clone());
-        let allowed = self.cx.retries.borrow_mut().take(&self.job.workspace, &self.job.pool);
+        let allowed = self.cx.retry_budgets.borrow_mut().take(&self.job.workspace, &self.job.pool);
         if !allowed {
             return self.state.fail(&format!("{cause}; the retry budget is used up"));
         }
-        if let Err(held) = self.check_quarantine() {
-            return self.state.fail(&format!("{cause}; {}", held.message));
+        if let Err(problem) = self.check_quarantine() {
+            return self.state.fail(&format!("{cause}; {}", problem.message));
         }
         self.cx.metrics.count(Count::Reruns, &self.job.pool);
-        let admitted = admit(&self.cx, &self.job, &self.failed_runners, &self.span).await;
+        let admitted = obtain_slot(&self.cx, &self.job, &self.failed_runners, &self.span).await;
         let slot = match admitted {
             Ok(slot) => slot,
             Err(refusal) => return self.state.fail(&format!("{cause}; {}", refusal.cause)),
         };
-        // It may have come to be held while it waited.
-        if let Err(held) = self.check_quarantine() {
-            return self.state.fail(&format!("{cause}; {}", held.message));
+        // The request may have been quarantined while it waited for a slot.
+        if let Err(problem) = self.check_quarantine() {
+            return self.state.fail(&format!("{cause}; {}", problem.message));
         }
         self.upstream = self.cx.upstream(slot.addr);
         self.runner.clone_from(&slot.runner);
         self.slot = Some(slot);
-        self.begun = None;
+        self.first_token_at = None;
         self.state.rerun(new_id(), new_id());
         StreamStep::Nothing
     }
 
+    /// Returns the problem if the request is quarantined.
     fn check_quarantine(&self) -> Result<(), Problem> {
         self.content.map_or(Ok(()), |content| observer::check(&self.cx, &content))
     }
 
-    /// Notes that the runner broke the answer off.
-    fn note_break(&self) {
+    /// Reports to the quarantine observer that the runner interrupted the answer.
+    fn report_interruption(&self) {
         let Some(content) = self.content else { return };
-        let place = RunLocation { upstream: &self.runner, addr: self.upstream.addr };
-        observer::record_interruption(&self.cx, place, content, self.begun);
+        let location = RunLocation { upstream: &self.runner, addr: self.upstream.addr };
+        observer::record_interruption(&self.cx, location, content, self.first_token_at);
     }
 
-    fn runner_failed(&mut self) {
+    /// Finishes the slot with the verdict that its runner failed.
+    fn record_runner_failure(&mut self) {
         if let Some(slot) = self.slot.as_mut() {
             slot.finish(Verdict::Failed, None);
         }
     }
 
-    fn note_progress(&mut self) {
+    /// Records the metrics of a token.
+    fn record_token(&mut self) {
         let (pool, priority) = (&self.job.pool, self.job.priority);
-        let gap = clock::since(self.last_progress);
+        let gap = clock::since(self.last_token_at);
         if self.state.next_index() == 1 {
-            self.begun = Some(clock::now());
+            self.first_token_at = Some(clock::now());
             if let Some(slot) = self.slot.as_mut() {
                 slot.record_first_token();
             }
@@ -450,10 +466,11 @@
                 self.cx.metrics.time(Timing::Stall, pool, priority, gap);
             }
         }
-        self.last_progress = clock::now();
+        self.last_token_at = clock::now();
     }
 
-    fn note_finish(&mut self, tokens: u64) {
+    /// Records a completed answer and finishes the slot.
+    fn record_finish(&mut self, tokens: u64) {
         self.cx.metrics.count(Count::Done, &self.job.pool);
         if let Some(content) = self.content {
             observer::record_answer(&self.cx, content);
@@ -464,29 +481,31 @@
         }
     }
 
+    /// Cancels the current generation without delay.
     fn cancel_now(&self) {
         self.spawn_cancel(Duration::ZERO);
     }
 
-    /// Returns what takes in the head of an answer to a request of now.
-    fn on_head(&self) -> impl Fn(HeadSignals) + use<> {
+    /// Returns a callback for the head of the answer to a request that is sent now. It records the
+    /// signals of the upstream.
+    fn head_callback(&self) -> impl Fn(HeadSignals) + use<> {
         let (cx, runner, sent) = (self.cx.clone(), self.runner.clone(), clock::now());
         move |signals| upstream_heads::note(&cx, &runner, signals, sent)
     }
 
-    /// Cancels the generation after a while.
-    fn spawn_cancel(&self, after: Duration) {
+    /// Cancels the current generation after a delay, in a task of its own.
+    fn spawn_cancel(&self, delay: Duration) {
         let (cx, runner, upstream) = (self.cx.clone(), self.runner.clone(), self.upstream);
         let (id, attempt) = (self.state.generation().to_owned(), self.state.attempt().to_owned());
         compio::runtime::spawn(async move {
-            compio::time::sleep(after).await;
-            if !may_cancel(&cx, &runner).await {
-                log::info!(upstream = runner.as_str(); "a generation runs on, its runner being at rest or at its limit");
+            compio::time::sleep(delay).await;
+            if !obtain_cancel_permit(&cx, &runner).await {
+                log::info!(upstream = runner.as_str(); "generation not cancelled: runner rests or is at its limit");
                 return;
             }
             let on_head = |signals| upstream_heads::note_aside(&cx, &runner, signals);
             if let Err(err) = adapter::cancel(&upstream, &id, &attempt, &on_head).await {
-                log::debug!("cancel of {id}: {err}");
+                log::debug!("could not cancel generation {id}: {err}");
             }
         })
         .detach();
@@ -495,28 +514,30 @@
 
 impl Drop for Generation {
     fn drop(&mut self) {
-        let after = match self.state.phase() {
+        let delay = match self.state.phase() {
             Phase::Done => return,
             Phase::Ended => Duration::ZERO,
-            // The caller left; it may come back to any box within the window.
+            // The caller disconnected; it may resume the answer at any box within the window.
             Phase::Open => self.cx.settings.timing.resume_window,
         };
-        self.spawn_cancel(after);
+        self.spawn_cancel(delay);
     }
 }
 
-/// Waits for the permit to cancel a generation; returns whether it came in time to be of use.
-async fn may_cancel(cx: &Rc<EntryCx>, runner: &str) -> bool {
-    for _ in 0..CANCEL_TRIES {
+/// Waits for a permit to send a cancellation to `runner`. Returns whether one was granted within
+/// [`MAX_CANCEL_ATTEMPTS`] attempts.
+async fn obtain_cancel_permit(cx: &Rc<EntryCx>, runner: &str) -> bool {
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
         if upstream_heads::obtain_in_advance(cx, runner).await.is_ok() {
             return true;
         }
-        compio::time::sleep(CANCEL_REST).await;
+        compio::time::sleep(CANCEL_RETRY_DELAY).await;
     }
     false
 }
 
-async fn admit(
+/// Waits for a slot at a runner of the pool other than those in `avoid`.
+async fn obtain_slot(
     cx: &Rc<EntryCx>,
     job: &Job,
     avoid: &[RunnerName],
--- a/crates/hatchpitch/src/entry/mod.rs
+++ b/crates/hatchpitch/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry process: takes callers' requests in and sees each to its answer.
+//! The entry process: accepts callers' requests, sends them to upstreams and returns the answers.
 
 pub mod apps;
 pub mod boxes;
--- a/crates/hatchpitch/src/entry/operators.rs
+++ b/crates/hatchpitch/src/entry/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of an entry box, under `/ops/`.
+//! Handles requests from operators to an entry box, under `/ops/`.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
 
-use super::callers::{body_problem, only};
+use super::callers::{body_problem, require_method};
 use super::context::{EntryCx, Intake};
 use super::daemon;
 use crate::config::view::PoolView;
@@ -19,69 +19,69 @@
 use crate::security::bearer;
 use crate::upstream_limits::RateLimit;
 
-/// What an entry box tells operators about itself.
+/// Status of an entry box, for operators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EntryStatus {
     /// Name of the box.
     pub name: BoxName,
-    /// Configuration number in force.
+    /// Number of the configuration in force.
     pub config_number: ConfigNumber,
-    /// Milliseconds since that number was confirmed as the newest; `None` if never.
+    /// Time since that number was last confirmed as the newest, in milliseconds; `None` if never.
     pub confirmed_age_ms: Option<u64>,
-    /// Evacuated failure domains, and the position of the change that made it so.
+    /// Revision of the list of evacuations, and the evacuated failure domains.
     #[serde(default)]
     pub evacuated: (Revision, Vec<FailureDomainName>),
     /// `open`, `leaving` or `closed`.
     pub intake: String,
     /// Requests in progress.
     pub active: usize,
-    /// Streams in progress a workspace.
+    /// Number of streams in progress per workspace.
     pub streams: Vec<(WorkspaceName, u64)>,
-    /// Pools as this box sees them.
+    /// Pools as seen by this box.
     pub pools: Vec<PoolStatus>,
-    /// Boxes as this box sees them.
+    /// Boxes as seen by this box.
     pub boxes: Vec<BoxStatus>,
 }
 
-/// A pool as one box sees it.
+/// Status of a pool as seen by one box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PoolStatus {
     /// Its name.
     pub name: PoolName,
-    /// Requests that wait at this box.
+    /// Number of requests waiting at this box.
     pub waiting: usize,
     /// Its runners.
     pub runners: Vec<RunnerStatus>,
 }
 
-/// A runner as one box sees it.
+/// Status of a runner as seen by one box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RunnerStatus {
     /// Its name.
     pub name: RunnerName,
-    /// Whether this box decides who runs there.
+    /// Whether this box owns the runner and admits requests to it.
     pub owned: bool,
-    /// Requests that this box let in there.
+    /// Number of requests running there that this box admitted.
     pub running: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub takes_work: bool,
-    /// Requests a second that it takes from all boxes together, if it names a limit.
+    /// Maximum rate of requests from all boxes together, if the runner names a limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<RateLimit>,
 }
 
-/// A box as another one sees it.
+/// Status of a box as seen by another box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BoxStatus {
     /// Its name.
     pub name: BoxName,
     /// Its status.
     pub status: MemberStatus,
-    /// Where callers reach it.
+    /// Address at which callers reach it.
     pub addr: std::net::SocketAddr,
 }
 
-/// Answers one request of an operator.
+/// Handles one request from an operator.
 pub async fn handle(cx: &Rc<EntryCx>, req: Request<Incoming>) -> Result<Response<Body>, Problem> {
     let view = cx.sync_gates();
     let operator = bearer(req.headers()).and_then(|key| view.operator_of_key(key));
@@ -91,18 +91,18 @@
     };
     let path = req.uri().path().to_owned();
     if let Some(trace) = path.strip_prefix("/ops/trace/") {
-        only(Method::GET, &req)?;
+        require_method(Method::GET, &req)?;
         return Ok(json_response(StatusCode::OK, &cx.tracer.find(trace), Outcome::Done));
     }
     match path.as_str() {
         "/ops/status" => {
-            only(Method::GET, &req)?;
+            require_method(Method::GET, &req)?;
             Ok(json_response(StatusCode::OK, &status(cx), Outcome::Done))
         }
         "/ops/drain" => {
-            only(Method::POST, &req)?;
-            let limits = cx.settings.timing.body_timeout;
-            read_body(req.into_body(), 1_024, limits).await.map_err(body_problem)?;
+            require_method(Method::POST, &req)?;
+            let timeout = cx.settings.timing.body_timeout;
+            read_body(req.into_body(), 1_024, timeout).await.map_err(body_problem)?;
             log::info!("drain ordered by operator {operator}");
             daemon::begin_drain(cx);
             Ok(json_response(StatusCode::ACCEPTED, &status(cx), Outcome::Done))
@@ -127,37 +127,40 @@
         active: cx.active(),
         streams: cx.stream_counts(),
         pools,
-        boxes: boxes(cx),
+        boxes: box_statuses(cx),
     }
 }
 
+/// Returns the status of a pool at this box.
 fn pool_status(cx: &EntryCx, pool: &PoolView, now: Instant) -> PoolStatus {
     let gate = cx.gate(&pool.pool.name);
     let owned = gate.update(|table| table.overview(now));
     let runners = pool.runners.iter().map(|runner| {
-        let own = owned.iter().find(|(name, ..)| *name == runner.name);
+        let row = owned.iter().find(|(name, ..)| *name == runner.name);
         RunnerStatus {
             name: runner.name.clone(),
-            owned: own.is_some(),
-            running: own.map_or(0, |(_, running, _)| *running),
-            takes_work: own.map_or_else(|| cx.upstream_serves(&runner.name), |own| own.2),
+            owned: row.is_some(),
+            running: row.map_or(0, |(_, running, _)| *running),
+            takes_work: row.map_or_else(|| cx.upstream_serves(&runner.name), |row| row.2),
             limit: cx.limits.borrow().limit(&runner.name),
         }
     });
     PoolStatus { name: pool.pool.name.clone(), waiting: gate.waiting(), runners: runners.collect() }
 }
 
-fn boxes(cx: &EntryCx) -> Vec<BoxStatus> {
+/// Returns the status of all known boxes.
+fn box_statuses(cx: &EntryCx) -> Vec<BoxStatus> {
     let membership = cx.membership.borrow();
-    let rows = membership.records().filter_map(|record| match &record.subject {
+    let statuses = membership.records().filter_map(|record| match &record.subject {
         crate::membership::Subject::Box(name) => {
             Some(BoxStatus { name: name.clone(), status: record.status, addr: record.addr })
         }
         crate::membership::Subject::Upstream(_) => None,
     });
-    rows.collect()
+    statuses.collect()
 }
 
+/// Returns the value of the field `intake`.
 fn intake_name(intake: Intake) -> &'static str {
     match intake {
         Intake::Open => "open",
