--- a/crates/hatchpitch/src/entry/apps.rs
+++ b/crates/hatchpitch/src/entry/apps.rs
@@ -450,7 +450,7 @@
             attempt: self.attempt.clone(),
             settlement: self.settlement.clone(),
         };
-        let active = self.cx.begin();
+        let active = self.cx.begin_request();
         compio::runtime::spawn(async move {
             if !claims.settle(&req).await {
                 log::warn!(
--- a/crates/hatchpitch/src/entry/callers.rs
+++ b/crates/hatchpitch/src/entry/callers.rs
@@ -26,7 +26,7 @@
 
 /// Handles one request from a caller or operator.
 pub async fn handle(cx: Rc<EntryCx>, req: Request<Incoming>, peer: SocketAddr) -> Response<Body> {
-    let _active = cx.begin();
+    let _active = cx.begin_request();
     let mut span = cx.tracer.start("caller.request", req.headers());
     span.note("path", path_label(req.uri().path()));
     let trace = span.trace().to_owned();
--- a/crates/hatchpitch/src/entry/completions.rs
+++ b/crates/hatchpitch/src/entry/completions.rs
@@ -265,7 +265,7 @@
     };
     let token = token.seal(&cx.settings.box_keys);
     let (tx, body) = Body::stream(MAX_BUFFERED_EVENTS);
-    let active = cx.begin();
+    let active = cx.begin_request();
     compio::runtime::spawn(async move {
         stream_to_caller(&cx, generation, first, &format, tx).await;
         drop(active);
--- a/crates/hatchpitch/src/entry/context.rs
+++ b/crates/hatchpitch/src/entry/context.rs
@@ -94,11 +94,11 @@
     /// Whether new work is accepted.
     pub intake: Cell<Intake>,
     /// Turns for moving generations off leaving runners.
-    pub turns: RefCell<Turns>,
+    pub move_turns: RefCell<Turns>,
     /// Slots granted to other boxes.
     pub grants: RefCell<GrantTable>,
     /// Slots that this box holds, by attempt.
-    pub held: RefCell<HeldSlots>,
+    pub held_slots: RefCell<HeldSlots>,
     /// Gates over the engines that this box owns.
     gates: RefCell<HashMap<PoolName, Gate>>,
     /// Gates over all engines of a pool, used while no owner is reachable.
@@ -153,9 +153,9 @@
             leaver_news: NewsQueue::default(),
             retry_budgets: RefCell::default(),
             intake: Cell::new(Intake::Open),
-            turns: RefCell::default(),
+            move_turns: RefCell::default(),
             grants: RefCell::default(),
-            held: RefCell::default(),
+            held_slots: RefCell::default(),
             gates: RefCell::default(),
             fallback: RefCell::default(),
             upstreams,
@@ -309,7 +309,7 @@
     }
 
     /// Returns the failure domains that the settings or the configuration assign to these regions.
-    pub fn domains_of(&self, regions: &[RegionName]) -> Vec<FailureDomainName> {
+    pub fn domains_in_regions(&self, regions: &[RegionName]) -> Vec<FailureDomainName> {
         let view = self.config.view();
         let assigned = self.settings.regions.iter().chain(&view.regions);
         let matching = assigned.filter(|(_, region)| regions.contains(region));
@@ -362,7 +362,7 @@
     /// Returns the share of an upstream's limit that the reachable boxes may use, from 0 to 1.
     /// Boxes lost recently keep their share, as they may be partitioned away together with some
     /// callers and upstreams.
-    pub fn part_in_reach(&self) -> f64 {
+    pub fn reachable_share(&self) -> f64 {
         let membership = self.membership.borrow();
         let serving = membership.serving_boxes().count().max(1);
         let lost = membership.lost_boxes(clock::now(), MAX_PARTITION_TIME);
@@ -475,7 +475,7 @@
     }
 
     /// Counts a request in progress until the guard is dropped.
-    pub fn begin(self: &Rc<Self>) -> ActiveGuard {
+    pub fn begin_request(self: &Rc<Self>) -> ActiveGuard {
         self.active.set(self.active.get() + 1);
         ActiveGuard(self.clone())
     }
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -124,7 +124,7 @@
         if let GrantSource::Local(permit) = &mut self.source {
             permit.finish(self.report);
         }
-        let Some(held) = self.cx.held.borrow_mut().remove(&self.id) else { return };
+        let Some(held) = self.cx.held_slots.borrow_mut().remove(&self.id) else { return };
         let release = ReleaseRequest { id: self.id.clone(), report: self.report };
         send_release(&self.cx, held.owner, release);
     }
@@ -425,7 +425,7 @@
             since: clock::now(),
             granted_here: owner == self.cx.settings.boxes_addr,
         };
-        self.cx.held.borrow_mut().insert(self.want.id.clone(), held);
+        self.cx.held_slots.borrow_mut().insert(self.want.id.clone(), held);
     }
 }
 
@@ -516,7 +516,7 @@
         cx.sync_gates();
         let own_addr = cx.settings.boxes_addr;
         let owner_of = |runner: &str| cx.owner_addr(runner);
-        let reassigned = cx.held.borrow_mut().reassigned(own_addr, owner_of, clock::now());
+        let reassigned = cx.held_slots.borrow_mut().reassigned(own_addr, owner_of, clock::now());
         for (owner, slots) in reassigned {
             let (count, holder) = (slots.len(), cx.settings.name.clone());
             let req = AdoptRequest { holder, slots };
@@ -533,7 +533,7 @@
                 }
                 Ok(AdoptAnswer { adopted }) => {
                     log::info!(owner:%, slots = count, adopted = adopted.len(); "slots handed over");
-                    let released = cx.held.borrow_mut().mark_adopted(owner, adopted);
+                    let released = cx.held_slots.borrow_mut().mark_adopted(owner, adopted);
                     for id in released {
                         let report = RunReport::RELEASED;
                         send_release(&cx, owner, ReleaseRequest { id, report });
@@ -555,7 +555,7 @@
         drop_dead_holders(&cx);
         let mut held: BTreeMap<SocketAddr, Vec<AttemptId>> =
             previous.into_keys().map(|owner| (owner, Vec::new())).collect();
-        held.extend(cx.held.borrow().by_owner());
+        held.extend(cx.held_slots.borrow().by_owner());
         held.remove(&cx.settings.boxes_addr);
         for (owner, ids) in &held {
             let req = GrantSync { holder: cx.settings.name.clone(), ids: ids.clone() };
--- a/crates/hatchpitch/src/moves/task.rs
+++ b/crates/hatchpitch/src/moves/task.rs
@@ -105,7 +105,7 @@
 
 /// Answers a turn request.
 pub fn answer_turn(cx: &EntryCx, req: &TurnRequest) -> TurnAnswer {
-    let mut turns = cx.turns.borrow_mut();
+    let mut turns = cx.move_turns.borrow_mut();
     match turns.request(&req.runner, &req.id, req.at_stake, clock::now()) {
         true => TurnAnswer::Yours,
         false => TurnAnswer::NotYet,
@@ -114,5 +114,5 @@
 
 /// Handles the release of a turn.
 pub fn answer_turn_done(cx: &EntryCx, done: &TurnDone) {
-    cx.turns.borrow_mut().release(&done.runner, &done.id, clock::now());
+    cx.move_turns.borrow_mut().release(&done.runner, &done.id, clock::now());
 }
--- a/crates/hatchpitch/src/relay/answer.rs
+++ b/crates/hatchpitch/src/relay/answer.rs
@@ -42,7 +42,7 @@
     for_caller(&mut parts);
     let (mut tx, out) = Body::stream(BUFFERED_PIECES);
     let (cx, content) = (relay.cx.clone(), req.content());
-    let (active, end) = (relay.cx.begin(), req.end());
+    let (active, end) = (relay.cx.begin_request(), req.end());
     compio::runtime::spawn(async move {
         let left = end.saturating_duration_since(clock::now());
         match compio::time::timeout(left, pass_pieces(first, &mut body, &mut tx)).await {
--- a/crates/hatchpitch/src/relay/run.rs
+++ b/crates/hatchpitch/src/relay/run.rs
@@ -79,7 +79,7 @@
                 of_route.iter().filter(|region| of_workspace.contains(region)).cloned().collect()
             }
         };
-        let domains = self.cx.domains_of(&allowed);
+        let domains = self.cx.domains_in_regions(&allowed);
         if domains.is_empty() {
             let cause = "no failure domain lies in a region that the request may run in";
             return Err(Refusal::new(cause, NO_REGION_RETRY));
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -137,7 +137,7 @@
         service: ServiceName,
         slot: Slot,
     ) -> Self {
-        let active = relay.cx.begin();
+        let active = relay.cx.begin_request();
         let now = clock::now();
         Self {
             relay,
--- a/crates/hatchpitch/src/upstream_limits/task.rs
+++ b/crates/hatchpitch/src/upstream_limits/task.rs
@@ -46,7 +46,7 @@
     let change = cx.limits.borrow_mut().hear(upstream, heard, clock::now());
     let Some(change) = change else { return };
     log_change(upstream, change);
-    place(cx, upstream, cx.part_in_reach());
+    place(cx, upstream, cx.reachable_share());
     if change.is_news() {
         spread(cx, upstream);
     }
@@ -66,7 +66,7 @@
     if upstreams.is_empty() {
         return;
     }
-    let part = cx.part_in_reach();
+    let part = cx.reachable_share();
     for upstream in upstreams {
         place(cx, &upstream, part);
     }
