--- a/crates/hatchpitch/src/grants/messages.rs
+++ b/crates/hatchpitch/src/grants/messages.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::dispatch::{Refusal, Want};
+use crate::dispatch::{Refusal, SlotRequest};
 use crate::ids::{AttemptId, BoxName, FailureDomainName, PoolName, RunnerName};
 use crate::routing::RunReport;
 
@@ -17,7 +17,7 @@
     /// Pool to take the engine from.
     pub pool: PoolName,
     /// Request that the slot is for.
-    pub want: Want,
+    pub want: SlotRequest,
     /// Kind of answer that is asked for.
     pub ask: Ask,
 }
@@ -90,7 +90,7 @@
     /// Engine that the slot is on.
     pub runner: RunnerName,
     /// Request that the slot was granted for.
-    pub want: Want,
+    pub want: SlotRequest,
     /// Time since the grant.
     pub age: Duration,
 }
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -13,9 +13,9 @@
     ReleaseRequest,
 };
 use crate::admission::{Gate, Permit, Placement};
-use crate::dispatch::line::{AT_LIMIT, RESTING, closed_to};
+use crate::dispatch::scheduler::{AT_LIMIT, RESTING, unavailable_refusal};
 use crate::dispatch::search::Search;
-use crate::dispatch::{OwnerChoice, Quote, Refusal, Step, Want};
+use crate::dispatch::{OwnerChoice, Quote, Refusal, SlotRequest, Step};
 use crate::entry::EntryCx;
 use crate::ids::{AttemptId, FailureDomainName, RunnerName, new_id};
 use crate::membership::MemberStatus;
@@ -122,7 +122,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let GrantSource::Local(permit) = &mut self.source {
-            permit.finish(self.report);
+            permit.set_report(self.report);
         }
         let Some(held) = self.cx.held_slots.borrow_mut().remove(&self.id) else { return };
         let release = ReleaseRequest { id: self.id.clone(), report: self.report };
@@ -155,7 +155,7 @@
 /// # Errors
 ///
 /// Returns a [`Refusal`] if no slot can be obtained within the limits of the request.
-pub async fn obtain(cx: &Rc<EntryCx>, pool: &str, mut want: Want) -> Result<Slot, Refusal> {
+pub async fn obtain(cx: &Rc<EntryCx>, pool: &str, mut want: SlotRequest) -> Result<Slot, Refusal> {
     for _ in 0..MAX_ATTEMPTS {
         let slot = obtain_unchecked(cx, pool, want.clone()).await?;
         if !cx.upstream_serves(&slot.runner) {
@@ -171,7 +171,11 @@
 
 /// Obtains a slot at this box or at an owner, as the placement policy says. The slot may be on an
 /// engine that rests by now.
-async fn obtain_unchecked(cx: &Rc<EntryCx>, pool: &str, want: Want) -> Result<Slot, Refusal> {
+async fn obtain_unchecked(
+    cx: &Rc<EntryCx>,
+    pool: &str,
+    want: SlotRequest,
+) -> Result<Slot, Refusal> {
     let view = cx.sync_gates();
     let placement = view.pools.iter().find(|p| p.pool.name == pool).map(|p| cx.placement(p));
     if placement.unwrap_or(cx.settings.policy.placement) == Placement::Local {
@@ -182,12 +186,16 @@
 }
 
 /// Waits until at least one eligible engine accepts work from this box.
-async fn await_accepting_runner(cx: &EntryCx, pool: &str, want: &Want) -> Result<(), Refusal> {
+async fn await_accepting_runner(
+    cx: &EntryCx,
+    pool: &str,
+    want: &SlotRequest,
+) -> Result<(), Refusal> {
     let started = clock::now();
     let longest = want.limit_wait.or(want.max_wait).unwrap_or(cx.settings.timing.max_wait);
     while let Some(opens_in) = time_until_accepting(cx, pool, want) {
         if clock::since(started) + opens_in > longest {
-            return Err(closed_to(want, Closed { opens_in, rests: true }));
+            return Err(unavailable_refusal(want, Closed { opens_in, rests: true }));
         }
         compio::time::sleep(opens_in).await;
     }
@@ -196,7 +204,7 @@
 
 /// Returns the time until the first eligible engine accepts work from this box, or `None` if one
 /// accepts it now, or if no engine is eligible.
-fn time_until_accepting(cx: &EntryCx, pool: &str, want: &Want) -> Option<Duration> {
+fn time_until_accepting(cx: &EntryCx, pool: &str, want: &SlotRequest) -> Option<Duration> {
     if cx.rests.borrow().is_empty() {
         return None;
     }
@@ -219,7 +227,11 @@
 
 /// Obtains a slot by this box's own admission. The rate limits of upstreams are shared with other
 /// boxes, so a permit may be denied; the upstream is then not selected again until it has capacity.
-async fn obtain_local(cx: &Rc<EntryCx>, pool: &str, mut want: Want) -> Result<Slot, Refusal> {
+async fn obtain_local(
+    cx: &Rc<EntryCx>,
+    pool: &str,
+    mut want: SlotRequest,
+) -> Result<Slot, Refusal> {
     let mut denied = 0;
     loop {
         let permit = cx.gate(pool).admit(want.clone()).await?;
@@ -237,11 +249,15 @@
 
 /// Obtains the permit that the rate limit of a runner requires in addition to the slot. If it is
 /// denied, releases the slot and returns the wait.
-async fn confirm_limit(cx: &Rc<EntryCx>, permit: Permit, want: &Want) -> Result<Permit, Duration> {
+async fn confirm_limit(
+    cx: &Rc<EntryCx>,
+    permit: Permit,
+    want: &SlotRequest,
+) -> Result<Permit, Duration> {
     match upstream_limits::confirm(cx, &permit.runner.name, want.priority).await {
         Ok(()) => Ok(permit),
         Err(wait) => {
-            permit.give_up();
+            permit.release_unused();
             Err(wait)
         }
     }
@@ -251,7 +267,7 @@
 struct OwnerSearch {
     cx: Rc<EntryCx>,
     pool: String,
-    want: Want,
+    want: SlotRequest,
 }
 
 /// Result of asking one owner.
@@ -271,18 +287,18 @@
         loop {
             let (owner, ask) = match search.step() {
                 Step::Quote(owners) => {
-                    search.heard_quotes(self.request_quotes(owners).await);
+                    search.record_quotes(self.request_quotes(owners).await);
                     continue;
                 }
                 Step::Take(owner) => (owner, Ask::Now),
                 Step::Wait(owner) => (owner, Ask::Wait),
                 Step::Refuse(refusal) => return Err(refusal),
-                Step::Alone => return self.admit_without_owner().await,
+                Step::DecideLocally => return self.admit_without_owner().await,
             };
             match self.ask_owner(owner, ask).await {
                 OwnerReply::Slot(slot) => return Ok(*slot),
-                OwnerReply::Busy(wait) => search.heard_busy(owner, wait),
-                OwnerReply::Refused(refusal) => search.heard_refusal(refusal),
+                OwnerReply::Busy(wait) => search.record_busy(owner, wait),
+                OwnerReply::Refused(refusal) => search.record_refusal(refusal),
                 OwnerReply::Quoted(_) | OwnerReply::Unavailable => {}
             }
         }
@@ -365,7 +381,7 @@
 
     /// Returns the request as sent to another box, which excludes engines that asked this box to
     /// rest.
-    fn remote_want(&self) -> Want {
+    fn remote_want(&self) -> SlotRequest {
         let mut want = self.want.clone();
         let rests = self.cx.rests.borrow();
         want.avoid.extend(rests.closed(clock::now()).take(MAX_EXCLUDED_RESTING).cloned());
@@ -440,7 +456,7 @@
     NotOwner,
 }
 
-async fn decide(cx: &Rc<EntryCx>, gate: &Gate, want: &Want, ask: Ask) -> GrantDecision {
+async fn decide(cx: &Rc<EntryCx>, gate: &Gate, want: &SlotRequest, ask: Ask) -> GrantDecision {
     if ask == Ask::Quote {
         return match gate.quote(want) {
             Ok(Quote::Room(load)) => GrantDecision::Quote(load),
--- a/crates/hatchpitch/tests/overload/fleet.rs
+++ b/crates/hatchpitch/tests/overload/fleet.rs
@@ -6,9 +6,11 @@
 use std::time::{Duration, Instant};
 
 use hatchpitch::admission::{AdmissionConfig, Policy as Decisions};
-use hatchpitch::dispatch::owners::{shard_of, shards};
+use hatchpitch::dispatch::owners::{shard_count, shard_of};
 use hatchpitch::dispatch::search::Search;
-use hatchpitch::dispatch::{Decision, Line, OwnerChoice, Quote, Step, Want, verify};
+use hatchpitch::dispatch::{
+    Decision, OwnerChoice, PoolScheduler, Quote, SlotRequest, Step, verify,
+};
 use hatchpitch::routing::state::RunnerSpec;
 use hatchpitch::routing::{RoutingConfig, RunReport, Verdict};
 use rand::rngs::StdRng;
@@ -90,7 +92,7 @@
 /// A run on an engine.
 struct Run {
     owner: usize,
-    want: Want,
+    want: SlotRequest,
     /// Cost that the owner's queue charged for the run.
     cost: u64,
     started_ms: u64,
@@ -103,7 +105,7 @@
     /// Owner of each engine.
     owner_of: Vec<usize>,
     /// Queue of each owner.
-    lines: Vec<Line>,
+    lines: Vec<PoolScheduler>,
     policy: Policy,
     /// Number of failure domains.
     domains: usize,
@@ -140,7 +142,8 @@
             Policy::OwnerPerEngine => (0..engines).collect(),
             Policy::Sharded => {
                 let in_domain = |domain| created.iter().filter(|e| e.domain == domain).count();
-                let shard = |i: usize| shard_of(&name(i), shards(in_domain(created[i].domain)));
+                let shard =
+                    |i: usize| shard_of(&name(i), shard_count(in_domain(created[i].domain)));
                 (0..engines).map(|i| shard(i) * domains + created[i].domain).collect()
             }
         };
@@ -157,7 +160,8 @@
         };
         let routing =
             RoutingConfig { memory: Decisions::default().memory, ..RoutingConfig::default() };
-        fleet.lines = (0..owners).map(|_| Line::new(AdmissionConfig::default(), routing)).collect();
+        fleet.lines =
+            (0..owners).map(|_| PoolScheduler::new(AdmissionConfig::default(), routing)).collect();
         (0..owners).for_each(|owner| fleet.sync(owner, 0));
         fleet
     }
@@ -240,7 +244,7 @@
                     .into_iter()
                     .filter_map(|a| Some((a, self.lines[owner_at(a)].quote(&want, now).ok()?)))
                     .collect();
-                current.search.heard_quotes(quotes);
+                current.search.record_quotes(quotes);
                 call_ms = CALL_MS;
             }
             Step::Take(a) => {
@@ -251,7 +255,7 @@
                     }
                     Ok(None) => {
                         let wait = self.lines[owner].expected_wait(&want, now);
-                        current.search.heard_busy(a, wait);
+                        current.search.record_busy(a, wait);
                     }
                     Err(_) => {}
                 }
@@ -269,10 +273,10 @@
                         waiting.insert((owner, ticket), entry);
                         return;
                     }
-                    Decision::Refuse(refusal) => current.search.heard_refusal(refusal),
+                    Decision::Refuse(refusal) => current.search.record_refusal(refusal),
                 }
             }
-            Step::Refuse(_) | Step::Alone => {
+            Step::Refuse(_) | Step::DecideLocally => {
                 results[current.request].refused_after_ms = Some(ms - req.at_ms);
                 return;
             }
@@ -326,13 +330,7 @@
                 let first = run.first_ms.map(|first| Duration::from_millis(first - run.started_ms));
                 let run_report =
                     RunReport { verdict: Verdict::Succeeded, tokens: Some(tokens), first };
-                self.lines[run.owner].give_back(
-                    &name(engine),
-                    &run.want,
-                    run.cost,
-                    run_report,
-                    now,
-                );
+                self.lines[run.owner].release(&name(engine), &run.want, run.cost, run_report, now);
             }
         }
     }
@@ -439,8 +437,8 @@
     format!("e{engine}")
 }
 
-fn want(request: usize, req: &Request) -> Want {
-    Want {
+fn want(request: usize, req: &Request) -> SlotRequest {
+    SlotRequest {
         id: request.to_string(),
         workspace: req.workspace.to_string(),
         priority: req.priority,
@@ -449,6 +447,6 @@
         max_tokens: 1_104,
         near: Some(req.domain.to_string()),
         accepts: Some(Duration::from_millis(req.target_ms / 2)),
-        ..Want::default()
+        ..SlotRequest::default()
     }
 }
