--- a/crates/hatchpitch/src/entry/apps.rs
+++ b/crates/hatchpitch/src/entry/apps.rs
@@ -25,8 +25,8 @@
 use crate::quarantine::ContentId;
 use crate::quarantine::observer::{self, RunLocation};
 use crate::trace::{Span, TRACEPARENT};
-use crate::upstream_heads::task as upstream_heads;
 use crate::upstream_limits::task as upstream_limits;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Request header with the key that identifies a call which must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -119,8 +119,8 @@
     remaining: std::vec::IntoIter<ServiceUpstream>,
     attempts: usize,
     denied_permits: usize,
-    /// Shortest time until one of the skipped upstreams, which rest or are at their limits, accepts
-    /// work.
+    /// Shortest time until one of the upstreams that were skipped, because of a backoff or a limit,
+    /// accepts work.
     available_in: Option<Duration>,
 }
 
@@ -242,7 +242,7 @@
                 continue;
             }
             match upstream_limits::obtain(&self.cx, &upstream.name, self.priority).await {
-                Ok(()) if self.cx.rests.borrow_mut().take(&upstream.name, clock::now()) => {
+                Ok(()) if self.cx.backoffs.borrow_mut().take(&upstream.name, clock::now()) => {
                     return Some(upstream);
                 }
                 Ok(()) => candidates.record_unavailable(self.available_in(&upstream)),
@@ -265,11 +265,11 @@
         if ran {
             return self.problem(last_cause, ran);
         }
-        // Upstreams that refused the call may have asked for rest in their answers.
-        let rest =
+        // Upstreams that refused the call may have asked for a backoff in their answers.
+        let backoff =
             self.serving_upstreams().iter().map(|upstream| self.available_in(upstream)).min();
-        let rest = rest.filter(|left| !left.is_zero());
-        match candidates.available_in.into_iter().chain(rest).min() {
+        let backoff = backoff.filter(|left| !left.is_zero());
+        match candidates.available_in.into_iter().chain(backoff).min() {
             Some(wait) => {
                 let status = StatusCode::SERVICE_UNAVAILABLE;
                 let cause = last_cause.unwrap_or_else(|| RESTING.to_owned());
@@ -279,9 +279,9 @@
         }
     }
 
-    /// Returns the time until a resting upstream accepts work from this box again.
+    /// Returns the time until the backoff of an upstream allows this box to send to it again.
     fn available_in(&self, upstream: &ServiceUpstream) -> Duration {
-        self.cx.rests.borrow().opens_in(&upstream.name, clock::now())
+        self.cx.backoffs.borrow().opens_in(&upstream.name, clock::now())
     }
 
     /// Returns the upstreams that accept new work, rotated by one position on each call.
@@ -324,7 +324,7 @@
         let timeout = self.service.service.timeout;
         let sent_at = clock::now();
         let res = self.cx.upstream(addr).send(req, timeout).await.map_err(AppFailure::from)?;
-        upstream_heads::note(&self.cx, &upstream.name, head_signals(&res), sent_at);
+        upstream_signals::record(&self.cx, &upstream.name, head_signals(&res), sent_at);
         let status = res.status();
         let default_type = || HeaderValue::from_static("application/octet-stream");
         let content_type =
--- a/crates/hatchpitch/src/entry/context.rs
+++ b/crates/hatchpitch/src/entry/context.rs
@@ -34,9 +34,9 @@
 use crate::routing::{ColdLimit, RoutingConfig};
 use crate::settings::EntrySettings;
 use crate::trace::Tracer;
-use crate::upstream_heads::{Leavers, NewsQueue, SharedRests, SharedSignals};
 use crate::upstream_limits::SharedLimits;
 use crate::upstream_limits::task as upstream_limits;
+use crate::upstream_signals::{LeavingUpstreams, NoticeQueue, SharedBackoffs, SharedSignals};
 
 /// Whether the process accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -81,14 +81,14 @@
     pub quarantine: Observer,
     /// Request rate limits that upstreams have named.
     pub limits: SharedLimits,
-    /// Rests that upstreams have asked this box for: times in which it sends them nothing.
-    pub rests: SharedRests,
+    /// Backoffs that upstreams have asked this box for.
+    pub backoffs: SharedBackoffs,
     /// Upstreams whose limits still have to be sent to other boxes.
-    pub limit_news: NewsQueue,
+    pub limit_notices: NoticeQueue,
     /// Upstreams that announced in an answer that they are leaving.
-    pub leavers: RefCell<Leavers>,
+    pub leaving: RefCell<LeavingUpstreams>,
     /// Leaving upstreams that still have to be reported to other boxes.
-    pub leaver_news: NewsQueue,
+    pub leaving_notices: NoticeQueue,
     /// Budgets for running requests again on another engine.
     pub retry_budgets: RefCell<RetryBudgets>,
     /// Whether new work is accepted.
@@ -147,10 +147,10 @@
             leader,
             quarantine: Observer::default(),
             limits: SharedLimits::default(),
-            rests: SharedRests::default(),
-            limit_news: NewsQueue::default(),
-            leavers: RefCell::default(),
-            leaver_news: NewsQueue::default(),
+            backoffs: SharedBackoffs::default(),
+            limit_notices: NoticeQueue::default(),
+            leaving: RefCell::default(),
+            leaving_notices: NoticeQueue::default(),
             retry_budgets: RefCell::default(),
             intake: Cell::new(Intake::Open),
             move_turns: RefCell::default(),
@@ -200,7 +200,8 @@
             memory: policy.memory,
             ..RoutingConfig::default()
         };
-        let signals = SharedSignals { limits: self.limits.clone(), rests: self.rests.clone() };
+        let signals =
+            SharedSignals { limits: self.limits.clone(), backoffs: self.backoffs.clone() };
         Gate::new(admission, routing, signals)
     }
 
@@ -272,7 +273,7 @@
         if owners_changed || view_changed {
             self.sync_all_gates(&view);
         }
-        upstream_limits::place_all(self);
+        upstream_limits::update_deciders(self);
         view
     }
 
@@ -404,7 +405,7 @@
     pub fn upstream_serves(&self, name: &str) -> bool {
         let roster = self.upstreams.roster.borrow();
         let is_leaving = roster.get(name).is_some_and(|record| record.phase == Phase::Leaving)
-            || self.leavers.borrow().contains(name, clock::now());
+            || self.leaving.borrow().contains(name, clock::now());
         !is_leaving && self.membership.borrow().upstream_serves(name)
     }
 
@@ -423,7 +424,7 @@
         self.intake.get() == Intake::Open && self.config.number() > 0 && self.config_is_fresh()
     }
 
-    /// Waits until this box has a fresh configuration, for at most [`MAX_CONFIG_WAIT`]. After a
+    /// Waits until this box has a fresh configuration, for at most `MAX_CONFIG_WAIT`. After a
     /// start the configuration may be missing until the control boxes have elected a leader, and a
     /// late answer is better for callers than a refusal. For a caller with a time limit the wait is
     /// shorter, so that it can still try another box.
--- a/crates/hatchpitch/src/entry/generation.rs
+++ b/crates/hatchpitch/src/entry/generation.rs
@@ -19,13 +19,13 @@
 use crate::routing::Verdict;
 use crate::streams::{Phase, StreamLimits, StreamState, StreamStep};
 use crate::trace::Span;
-use crate::upstream_heads::{HeadSignals, task as upstream_heads};
+use crate::upstream_signals::{UpstreamSignals, task as upstream_signals};
 
 /// Delay before the second attempt to reconnect to an engine. It doubles with each further attempt.
 const RELINK_DELAY: Duration = Duration::from_millis(50);
-/// Maximum number of attempts to get a permit for cancelling a generation whose runner rests or is
-/// at its limit. With [`CANCEL_RETRY_DELAY`] they take about as long as an answer that nobody
-/// reads.
+/// Maximum number of attempts to get a permit for cancelling a generation whose runner has asked
+/// for a backoff or is at its limit. With [`CANCEL_RETRY_DELAY`] they take about as long as an
+/// answer that nobody reads.
 const MAX_CANCEL_ATTEMPTS: usize = 20;
 /// Delay between two attempts to get a permit for cancelling a generation.
 const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -350,8 +350,8 @@
             let head_timeout = self.job.silence_limit;
             let (id, attempt) = (self.state.generation(), self.state.attempt());
             let trace = span.traceparent();
-            upstream_heads::await_rest(&self.cx, &self.runner, head_timeout).await;
-            let permit = upstream_heads::obtain_in_advance(&self.cx, &self.runner).await;
+            upstream_signals::wait_for_backoff(&self.cx, &self.runner, head_timeout).await;
+            let permit = upstream_signals::obtain_in_advance(&self.cx, &self.runner).await;
             let on_head = self.head_callback();
             let link =
                 adapter::ResumeRequest { generation: id, attempt, from, traceparent: &trace };
@@ -488,9 +488,9 @@
 
     /// Returns a callback for the head of the answer to a request that is sent now. It records the
     /// signals of the upstream.
-    fn head_callback(&self) -> impl Fn(HeadSignals) + use<> {
+    fn head_callback(&self) -> impl Fn(UpstreamSignals) + use<> {
         let (cx, runner, sent) = (self.cx.clone(), self.runner.clone(), clock::now());
-        move |signals| upstream_heads::note(&cx, &runner, signals, sent)
+        move |signals| upstream_signals::record(&cx, &runner, signals, sent)
     }
 
     /// Cancels the current generation after a delay, in a task of its own.
@@ -500,10 +500,10 @@
         compio::runtime::spawn(async move {
             compio::time::sleep(delay).await;
             if !obtain_cancel_permit(&cx, &runner).await {
-                log::info!(upstream = runner.as_str(); "generation not cancelled: runner rests or is at its limit");
+                log::info!(upstream = runner.as_str(); "generation not cancelled: runner in backoff or at its limit");
                 return;
             }
-            let on_head = |signals| upstream_heads::note_aside(&cx, &runner, signals);
+            let on_head = |signals| upstream_signals::record_background(&cx, &runner, signals);
             if let Err(err) = adapter::cancel(&upstream, &id, &attempt, &on_head).await {
                 log::debug!("could not cancel generation {id}: {err}");
             }
@@ -528,7 +528,7 @@
 /// [`MAX_CANCEL_ATTEMPTS`] attempts.
 async fn obtain_cancel_permit(cx: &Rc<EntryCx>, runner: &str) -> bool {
     for _ in 0..MAX_CANCEL_ATTEMPTS {
-        if upstream_heads::obtain_in_advance(cx, runner).await.is_ok() {
+        if upstream_signals::obtain_in_advance(cx, runner).await.is_ok() {
             return true;
         }
         compio::time::sleep(CANCEL_RETRY_DELAY).await;
--- a/crates/hatchpitch/src/relay/stream.rs
+++ b/crates/hatchpitch/src/relay/stream.rs
@@ -27,7 +27,7 @@
 use crate::quarantine::observer::{self, RunLocation};
 use crate::registry::Phase;
 use crate::routing::Verdict;
-use crate::upstream_heads::task as upstream_heads;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Chunks buffered between upstream and caller.
 pub(super) const BUFFERED_CHUNKS: usize = 32;
@@ -266,7 +266,7 @@
         if !self.leaving || self.moves >= MAX_MOVES || clock::now() < self.next_move {
             return;
         }
-        if let Some(left) = upstream_heads::rest_left(&self.relay.cx, &self.slot.runner) {
+        if let Some(left) = upstream_signals::backoff_remaining(&self.relay.cx, &self.slot.runner) {
             self.next_move = clock::now() + left;
             return;
         }
@@ -342,8 +342,8 @@
                 );
                 self.slot = left;
                 let (cx, runner) = (&self.relay.cx, &self.slot.runner);
-                upstream_heads::await_rest(cx, runner, MOVE_TIMEOUT).await;
-                upstream_heads::obtain_in_advance(cx, runner).await?;
+                upstream_signals::wait_for_backoff(cx, runner, MOVE_TIMEOUT).await;
+                upstream_signals::obtain_in_advance(cx, runner).await?;
                 self.send_resume(source, handle).await.map_err(ResumeFailure::cause)
             }
             (failure, _) => Err(failure.cause()),
@@ -356,8 +356,11 @@
         source: SocketAddr,
         handle: String,
     ) -> Result<Incoming, ResumeFailure> {
-        if upstream_heads::rest_left(&self.relay.cx, &self.slot.runner).is_some() {
-            return Err(ResumeFailure::NotRun(format!("resume: {}", upstream_heads::RESTS)));
+        if upstream_signals::backoff_remaining(&self.relay.cx, &self.slot.runner).is_some() {
+            return Err(ResumeFailure::NotRun(format!(
+                "resume: {}",
+                upstream_signals::BACKING_OFF
+            )));
         }
         let left = self.req.time_left(clock::now());
         let after = self.splitter.last_id().map(str::to_owned);
@@ -379,7 +382,7 @@
         let (parts, body) = sent?.into_parts();
         let kind = (self.relay.protocol.classify)(&self.req, &parts);
         let signals = kind.trusted_signals(self.relay.protocol.signals(&parts));
-        upstream_heads::note(&self.relay.cx, &self.slot.runner, signals, sent_at);
+        upstream_signals::record(&self.relay.cx, &self.slot.runner, signals, sent_at);
         match kind {
             ResponseKind::Answer if parts.status.is_success() => {
                 self.relay.cx.metrics.count(Count::Relinks, &self.req.route.name);
--- a/crates/hatchpitch/src/routing/task.rs
+++ b/crates/hatchpitch/src/routing/task.rs
@@ -10,7 +10,7 @@
 use crate::entry::EntryCx;
 use crate::membership::messages::{MemberRecord, MemberStatus, Subject};
 use crate::membership::task;
-use crate::upstream_heads::task as upstream_heads;
+use crate::upstream_signals::task as upstream_signals;
 
 /// Polling interval for the load report of one runner.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
@@ -38,12 +38,12 @@
 
 /// Polls one runner for its load and applies the report.
 async fn poll_load(cx: &Rc<EntryCx>, runner: &Runner) {
-    if !upstream_heads::take_spare(cx, &runner.name) {
+    if !upstream_signals::take_spare(cx, &runner.name) {
         // Requests of callers take precedence within the upstream's limits, and this box knows its
         // own load on the runner without a report.
         return;
     }
-    let on_head = |signals| upstream_heads::note_aside(cx, &runner.name, signals);
+    let on_head = |signals| upstream_signals::record_background(cx, &runner.name, signals);
     let load = match adapter::load(&cx.upstream(runner.addr), &on_head).await {
         Ok(load) => load,
         Err(err) => {
--- a/crates/hatchpitch/src/upstream_limits/mod.rs
+++ b/crates/hatchpitch/src/upstream_limits/mod.rs
@@ -1,16 +1,17 @@
-//! Limits that upstreams name in their answers, in requests a second from all boxes together.
+//! Rate limits that upstreams set in their responses, in requests a second from all boxes together.
 //!
-//! One box gives out the permits of an upstream; every way on which something is sent to it takes
-//! one first. What an answer says travels to all boxes, because each of them sends there.
+//! For each upstream one box, the decider, grants permits. Every code path that sends something to
+//! the upstream takes a permit first. Changes of a limit are sent to all boxes, because any of them
+//! may send requests to the upstream.
 
-pub mod book;
 pub mod bucket;
-pub mod heard;
 pub mod messages;
+pub mod observation;
+pub mod table;
 pub mod task;
 pub mod verify;
 
-pub use book::{Change, Decider, LimitBook, SharedLimits, Taken};
 pub use bucket::Bucket;
-pub use heard::{Heard, RateLimit, Statement};
-pub use messages::{LimitNews, PermitAnswer, PermitKind, PermitRequest};
+pub use messages::{LimitNotice, PermitAnswer, PermitKind, PermitRequest};
+pub use observation::{LimitObservation, LimitSignal, RateLimit};
+pub use table::{Acquired, Change, Decider, LimitTable, SharedLimits};
