--- a/crates/hatchpitch/src/relay/response.rs
+++ b/crates/hatchpitch/src/relay/response.rs
@@ -43,7 +43,7 @@
     adapt_head(&mut parts);
     let (mut tx, out) = Body::stream(BUFFERED_CHUNKS);
     let (cx, content) = (relay.cx.clone(), req.content());
-    let (active, end) = (relay.cx.begin(), req.end());
+    let (active, end) = (relay.cx.begin_request(), req.end());
     compio::runtime::spawn(async move {
         let left = end.saturating_duration_since(clock::now());
         match compio::time::timeout(left, forward_body(first, &mut body, &mut tx)).await {
--- a/crates/hatchpitch/src/upstream_limits/task.rs
+++ b/crates/hatchpitch/src/upstream_limits/task.rs
@@ -47,7 +47,7 @@
     let change = cx.limits.borrow_mut().observe(upstream, observed, clock::now());
     let Some(change) = change else { return };
     log_change(upstream, change);
-    update_decider(cx, upstream, cx.part_in_reach());
+    update_decider(cx, upstream, cx.reachable_share());
     if change.needs_broadcast() {
         broadcast(cx, upstream);
     }
@@ -67,7 +67,7 @@
     if upstreams.is_empty() {
         return;
     }
-    let share = cx.part_in_reach();
+    let share = cx.reachable_share();
     for upstream in upstreams {
         update_decider(cx, &upstream, share);
     }
