--- a/crates/hatchpitch/src/essential.rs
+++ b/crates/hatchpitch/src/essential.rs
@@ -1,28 +1,29 @@
-//! Tasks without which a process is of no use.
+//! Tasks whose panic terminates the process.
 //!
-//! The runtime ends a task that panics and goes on with the others. A process
-//! whose log, membership or configuration stands still looks alive and serves
-//! by what it knew then; it is better ended, and started anew by whoever runs it.
+//! When a task panics, the runtime drops it and keeps running the others. A
+//! process whose log, membership or configuration task is gone still looks
+//! healthy but serves from stale state, so it exits and is left to its
+//! supervisor to restart.
 
 use std::future::Future;
 
-/// Exit code of a process that ends because of a panic, as the standard library uses it.
-const PANIC_EXIT: i32 = 101;
+/// Exit code of a process that terminates because of a panic, as in the standard library.
+const PANIC_EXIT_CODE: i32 = 101;
 
-/// Begins a task that lasts as long as the process, which ends if the task panics.
+/// Spawns a task that runs for the lifetime of the process and exits the process if it panics.
 pub fn spawn_essential(name: &'static str, task: impl Future<Output = ()> + 'static) {
     spawn_watched(task, move || {
         log::error!(task = name; "a task that is needed panicked; the process ends");
-        std::process::exit(PANIC_EXIT);
+        std::process::exit(PANIC_EXIT_CODE);
     });
 }
 
-/// Begins a task, and calls `panicked` if it panics.
-pub fn spawn_watched(task: impl Future<Output = ()> + 'static, panicked: impl FnOnce() + 'static) {
-    let running = compio::runtime::spawn(task);
+/// Spawns a task and calls `on_panic` if it panics.
+pub fn spawn_watched(task: impl Future<Output = ()> + 'static, on_panic: impl FnOnce() + 'static) {
+    let handle = compio::runtime::spawn(task);
     compio::runtime::spawn(async move {
-        if let Err(compio::runtime::JoinError::Panicked(_)) = running.await {
-            panicked();
+        if let Err(compio::runtime::JoinError::Panicked(_)) = handle.await {
+            on_panic();
         }
     })
     .detach();
--- a/crates/hatchpitch/src/explain.rs
+++ b/crates/hatchpitch/src/explain.rs
@@ -1,9 +1,9 @@
-//! Assembles the story of one request from the log files of all boxes, without I/O.
+//! Assembles the timeline of one request from the log files of all boxes, without I/O.
 //!
-//! The lines of one file keep their order, whatever their clock says; between
-//! files the clocks decide, and each line names its box. Beside the lines of the
-//! request stand those that its upstreams' lives left at other boxes, and starts
-//! and stops of the boxes that had the request.
+//! Lines of one file keep their order regardless of their timestamps; lines of
+//! different files are ordered by timestamp, and each line names its box. Besides
+//! the lines of the request, the timeline includes lines of any box about the
+//! upstreams of the request, and starts and stops of the boxes that handled it.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -11,11 +11,12 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Time around the request in which lines of boxes and upstreams are looked at, in milliseconds:
-/// a lease and some heartbeats.
-const AROUND_MS: u64 = 10_000;
-/// Beginnings of messages that say that a box starts, stops or lost touch.
-const BOX_MESSAGES: [&str; 6] = [
+/// Margin before the first and after the last line of the request within which lines about boxes
+/// and upstreams are included, in milliseconds. It covers a lease and several heartbeats.
+const MARGIN_MS: u64 = 10_000;
+/// Prefixes of messages that report that a box started, stopped, lost contact with another
+/// box or dropped log lines.
+const BOX_MESSAGE_PREFIXES: [&str; 6] = [
     "entry box ",
     "control box ",
     "takes no new work",
@@ -23,39 +24,39 @@
     "cut short with",
     "log lines left out",
 ];
-/// Fields that every line has, or that are shown elsewhere.
+/// Fields that have a column of their own or that every line has.
 const COMMON_FIELDS: [&str; 6] = ["time_ms", "level", "box", "target", "message", "request"];
 
-/// A line of a log.
+/// One log line.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Line {
-    /// Clock of its box, in milliseconds since 1970.
+    /// Wall clock of the box, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The box.
+    /// Name of the box that wrote the line.
     #[serde(rename = "box")]
     pub box_name: String,
-    /// What happened.
+    /// Log message.
     pub message: String,
-    /// Everything else that the line says.
+    /// Remaining key-value fields of the line.
     pub fields: Map<String, Value>,
     #[serde(skip)]
     request: String,
 }
 
-/// What is known of one request.
+/// Timeline of one request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Story {
-    /// The request.
+pub struct Timeline {
+    /// Id of the request.
     pub request: String,
-    /// Its lines and those around it, in order.
+    /// Lines of the request and related lines, in order.
     pub lines: Vec<Line>,
-    /// How it ended, as far as the logs tell.
+    /// How the request ended, as far as the logs show.
     pub end: String,
-    /// Lines of the files that could not be read.
+    /// Number of lines in all files that could not be parsed.
     pub unreadable: usize,
 }
 
-/// One log file, by lines.
+/// Parsed lines of one log file.
 #[derive(Debug, Default)]
 pub struct LogFile {
     lines: Vec<Line>,
@@ -63,7 +64,7 @@
 }
 
 impl LogFile {
-    /// Reads the text of a file; lines that are no JSON are counted.
+    /// Parses the text of a file. Lines that are not valid log lines are only counted.
     pub fn parse(text: &str) -> Self {
         let mut file = Self::default();
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
@@ -72,7 +73,7 @@
                 None => file.unreadable += 1,
             }
         }
-        // A clock that was set back must not move a line before the one it follows.
+        // A clock that was set back must not reorder the lines of a file.
         let mut latest = 0;
         for line in &mut file.lines {
             latest = latest.max(line.time_ms);
@@ -92,7 +93,7 @@
     Some(Line { time_ms, box_name, message, fields, request })
 }
 
-/// Returns the text of a field; an empty one if there is none.
+/// Returns a field as text, or an empty string if it is missing or not a string.
 fn text<'a>(fields: &'a Map<String, Value>, key: &str) -> &'a str {
     fields.get(key).and_then(Value::as_str).unwrap_or_default()
 }
@@ -102,101 +103,102 @@
         text(&self.fields, key)
     }
 
-    fn is_about(&self, upstream: &str) -> bool {
+    fn mentions_upstream(&self, upstream: &str) -> bool {
         self.request.is_empty()
             && (self.text("upstream") == upstream
                 || self.message.split([' ', ':']).any(|word| word == upstream))
     }
 
-    fn is_about_its_box(&self) -> bool {
-        self.request.is_empty() && BOX_MESSAGES.iter().any(|begin| self.message.starts_with(begin))
+    fn reports_box_state(&self) -> bool {
+        self.request.is_empty()
+            && BOX_MESSAGE_PREFIXES.iter().any(|prefix| self.message.starts_with(prefix))
     }
 }
 
-/// What belongs to the story of a request.
+/// Selects the lines that belong to the timeline of a request.
 struct Scope<'a> {
     request: &'a str,
-    /// Upstreams that its lines name.
+    /// Upstreams named by lines of the request.
     upstreams: BTreeSet<&'a str>,
-    /// Boxes that wrote its lines.
+    /// Boxes that wrote lines of the request.
     boxes: BTreeSet<&'a str>,
-    /// Times in which lines of these upstreams and boxes belong to it, in milliseconds.
-    times_ms: RangeInclusive<u64>,
+    /// Period within which lines about these upstreams and boxes are included, in milliseconds.
+    period_ms: RangeInclusive<u64>,
 }
 
 impl<'a> Scope<'a> {
-    /// Finds the scope of a request from its own lines.
-    fn new(request: &'a str, own: &[&'a Line]) -> Self {
-        let upstreams = own
+    /// Derives the scope of a request from its own lines.
+    fn new(request: &'a str, request_lines: &[&'a Line]) -> Self {
+        let upstreams = request_lines
             .iter()
             .flat_map(|line| [line.text("upstream"), line.text("to")])
             .filter(|upstream| !upstream.is_empty())
             .collect();
-        let boxes = own.iter().map(|line| line.box_name.as_str()).collect();
-        let times = own.iter().map(|line| line.time_ms);
-        let from = times.clone().min().unwrap_or(0).saturating_sub(AROUND_MS);
-        let to = times.max().unwrap_or(0).saturating_add(AROUND_MS);
-        Self { request, upstreams, boxes, times_ms: from..=to }
+        let boxes = request_lines.iter().map(|line| line.box_name.as_str()).collect();
+        let times = request_lines.iter().map(|line| line.time_ms);
+        let from = times.clone().min().unwrap_or(0).saturating_sub(MARGIN_MS);
+        let to = times.max().unwrap_or(0).saturating_add(MARGIN_MS);
+        Self { request, upstreams, boxes, period_ms: from..=to }
     }
 
-    fn holds(&self, line: &Line) -> bool {
+    fn includes(&self, line: &Line) -> bool {
         if line.request == self.request {
             return true;
         }
-        if !self.times_ms.contains(&line.time_ms) {
+        if !self.period_ms.contains(&line.time_ms) {
             return false;
         }
-        let about_box = self.boxes.contains(line.box_name.as_str()) && line.is_about_its_box();
-        about_box || self.upstreams.iter().any(|upstream| line.is_about(upstream))
+        let about_box = self.boxes.contains(line.box_name.as_str()) && line.reports_box_state();
+        about_box || self.upstreams.iter().any(|upstream| line.mentions_upstream(upstream))
     }
 }
 
-/// Assembles the story of a request.
-pub fn explain(request: &str, files: &[LogFile]) -> Story {
+/// Assembles the timeline of a request.
+pub fn explain(request: &str, files: &[LogFile]) -> Timeline {
     let all = || files.iter().flat_map(|file| &file.lines);
-    let own: Vec<&Line> = all().filter(|line| line.request == request).collect();
-    let scope = Scope::new(request, &own);
-    let mut lines: Vec<Line> = all().filter(|line| scope.holds(line)).cloned().collect();
-    // Stable, and times never fall within a file: the order of each file stays.
+    let request_lines: Vec<&Line> = all().filter(|line| line.request == request).collect();
+    let scope = Scope::new(request, &request_lines);
+    let mut lines: Vec<Line> = all().filter(|line| scope.includes(line)).cloned().collect();
+    // The sort is stable and timestamps never decrease within a file, so each file keeps its order.
     lines.sort_by_key(|line| line.time_ms);
-    Story {
+    Timeline {
         request: request.to_owned(),
-        end: end_of(&own, &lines),
+        end: describe_end(&request_lines, &lines),
         lines,
         unreadable: files.iter().map(|file| file.unreadable).sum(),
     }
 }
 
-/// Says how a request ended.
-fn end_of(own: &[&Line], around: &[Line]) -> String {
-    let Some(last) = own.last() else { return "no line of the logs names it".to_owned() };
+/// Describes how a request ended.
+fn describe_end(request_lines: &[&Line], timeline: &[Line]) -> String {
+    let Some(last) = request_lines.last() else { return "no line of the logs names it".to_owned() };
     let final_messages = ["stream ended", "refused", "answered"];
     let ended = final_messages
         .iter()
-        .find_map(|message| own.iter().rev().find(|line| line.message == *message));
+        .find_map(|message| request_lines.iter().rev().find(|line| line.message == *message));
     if let Some(line) = ended {
         let cause = line.text("cause");
         let cause = if cause.is_empty() { String::new() } else { format!(": {cause}") };
         let outcome = line.text("outcome");
         return format!("{} at box {}, {outcome}{cause}", line.message, line.box_name);
     }
-    let started = around.iter().find(|line| {
+    let restart = timeline.iter().find(|line| {
         line.box_name == last.box_name
             && line.time_ms >= last.time_ms
             && line.message.starts_with("entry box ")
     });
-    match started {
-        Some(start) => format!(
+    match restart {
+        Some(restart) => format!(
             "box {} ended before it answered; it started again {} ms after the last line",
             last.box_name,
-            start.time_ms - last.time_ms
+            restart.time_ms - last.time_ms
         ),
         None => format!("box {} wrote no final line of it", last.box_name),
     }
 }
 
-impl Story {
-    /// Renders the story for people: times count from the first line.
+impl Timeline {
+    /// Renders the timeline as text, with times relative to the first line.
     pub fn text(&self) -> String {
         let first = self.lines.first().map_or(0, |line| line.time_ms);
         let mut text = vec![format!("request {}", self.request)];
@@ -204,7 +206,7 @@
             let fields = line.fields.iter().filter(|(_, value)| **value != "");
             let fields: Vec<String> = fields.map(|(key, value)| format!("{key}={value}")).collect();
             let at = line.time_ms - first;
-            // Marks the lines that name a request, which is this one.
+            // Lines with a request id are those of this request; they are marked.
             let mark = if line.request.is_empty() { ' ' } else { '*' };
             format!("{at:>8} ms {mark} {}  {}  {}", line.box_name, line.message, fields.join(" "))
         }));
--- a/crates/hatchpitch/src/lib.rs
+++ b/crates/hatchpitch/src/lib.rs
@@ -1,9 +1,10 @@
-//! The serving system for generations of unknown length on crowded engines.
+//! Serving system for generations of unknown length on heavily loaded engines.
 //!
-//! One folder a duty. In each, `state` is plain data with functions that know
-//! no socket, clock or chance; `messages` is what goes over the wire; `verify`
-//! checks the invariants in tests; a thin task does the I/O. The daemons
-//! `hatchpitch-entry` and `hatchpitch-control` only wire duties together.
+//! Each module folder covers one responsibility. In it, `state` is plain data
+//! with deterministic functions that use no sockets, clocks or randomness;
+//! `messages` defines the wire format; `verify` checks invariants in tests; a
+//! thin task does the I/O. The daemons `hatchpitch-entry` and
+//! `hatchpitch-control` only connect these modules.
 
 pub mod admission;
 pub mod backlog_monitor;
--- a/crates/hatchpitch/src/listener.rs
+++ b/crates/hatchpitch/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners that a daemon serves beside those of the product's own interface.
+//! Additional listeners that a daemon serves besides those for callers, operators and boxes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -7,29 +7,30 @@
 use compio::runtime::JoinHandle;
 use hatchpitch_net::{Handler, ServerLimits, Stop, bind, serve};
 
-/// Time for a listener to end once the process stops: its requests were waited for before.
-const END_LIMIT: Duration = Duration::from_secs(1);
+/// How long to wait for a listener to close at shutdown; its requests have been drained before.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A listener and what answers its requests.
+/// An additional listener and its request handler.
 pub struct ExtraListener {
-    /// Where it listens.
+    /// Address to listen on.
     pub addr: SocketAddr,
-    /// Its bounds.
+    /// Limits on its connections.
     pub limits: ServerLimits,
-    /// Answers one request.
+    /// Handles one request.
     pub handler: Handler,
 }
 
-/// Returns where a listener is bound whose address others know as `addr`.
+/// Returns the address to bind for a listener that is advertised as `addr`: `listen_ip`, if set,
+/// replaces the IP address.
 pub fn bound_at(addr: SocketAddr, listen_ip: Option<IpAddr>) -> SocketAddr {
     SocketAddr::new(listen_ip.unwrap_or(addr.ip()), addr.port())
 }
 
-/// Begins to serve further listeners.
+/// Binds additional listeners and starts serving them.
 ///
 /// # Errors
 ///
-/// Returns an error if one of them can't be opened.
+/// Returns an error if one of them cannot be bound.
 pub async fn open(
     extra: Vec<ExtraListener>,
     listen_ip: Option<IpAddr>,
@@ -43,9 +44,9 @@
     Ok(listeners)
 }
 
-/// Waits until listeners have ended that were asked to stop, each for a moment at most.
+/// Waits for listeners that were asked to stop, for at most `SHUTDOWN_TIMEOUT` each.
 pub async fn ended(listeners: Vec<JoinHandle<()>>) {
     for listener in listeners {
-        let _ = compio::time::timeout(END_LIMIT, listener).await;
+        let _ = compio::time::timeout(SHUTDOWN_TIMEOUT, listener).await;
     }
 }
--- a/crates/hatchpitch/src/logging.rs
+++ b/crates/hatchpitch/src/logging.rs
@@ -1,10 +1,9 @@
-//! Logs as JSON lines on standard output, bounded in number.
+//! Rate-limited logging as JSON lines on standard output.
 //!
-//! Key-value pairs of a record become fields of its line. Under load, lines
-//! beyond the bound are left out and counted; warnings and errors have a bound
-//! of their own, so that a flood of routine lines does not hide them. A reader
-//! that is behind never holds the process up: lines it has no room for are left
-//! out as well.
+//! Key-value pairs of a record become fields of its line. Lines beyond the rate
+//! limit are dropped and counted; warnings and errors have a limit of their own,
+//! so that a flood of routine lines does not hide them. A slow reader never
+//! blocks the process: lines that would block are dropped as well.
 
 use std::cell::Cell;
 use std::io::{self, Write};
@@ -15,11 +14,11 @@
 use hatchpitch_net::clock;
 use log::LevelFilter;
 
-/// Starts logging at `level` for the process of box `name`.
+/// Installs the logger of box `name` at `level`.
 ///
 /// # Errors
 ///
-/// Returns an error if logging was started before.
+/// Returns an error if a logger is already installed.
 pub fn start(name: &str, level: LevelFilter) -> anyhow::Result<()> {
     let name = name.to_owned();
     fern::Dispatch::new()
@@ -30,7 +29,7 @@
         .level_for("hatchpitch_control", level)
         .level_for("hatchpitch_platform", level)
         .level_for("span", level)
-        .filter(|meta| allowed(meta.level()))
+        .filter(|meta| within_limit(meta.level()))
         .format(move |out, message, record| {
             let mut line = serde_json::Map::new();
             line.insert("time_ms".to_owned(), unix_ms().into());
@@ -43,7 +42,7 @@
             }
             out.finish(format_args!("{}", serde_json::Value::Object(line)));
         })
-        .chain(Box::new(PatientWriter::new(io::stdout())) as Box<dyn Write + Send>)
+        .chain(Box::new(NonBlockingWriter::new(io::stdout())) as Box<dyn Write + Send>)
         .apply()?;
     Ok(())
 }
@@ -67,24 +66,25 @@
     }
 }
 
-/// Lines that found no room, or could not be written, since the last note of lines left out.
-static NO_ROOM: AtomicU32 = AtomicU32::new(0);
-/// Bytes that a pipe takes without blocking once it is ready; a longer line is left out.
-const MAX_LINE: usize = 4_096;
+/// Lines dropped since the last report because the write would block or failed.
+static UNWRITABLE_LINES: AtomicU32 = AtomicU32::new(0);
+/// Longest line in bytes; longer lines are dropped. A pipe that polls as writable accepts this
+/// much without blocking.
+const MAX_LINE_BYTES: usize = 4_096;
 
-/// Writes whole lines to a file, pipe or terminal, and leaves out those that would block.
-pub struct PatientWriter<W> {
+/// Writes whole lines to a file, pipe or terminal, and drops lines that would block.
+pub struct NonBlockingWriter<W> {
     out: W,
     line: Vec<u8>,
 }
 
-impl<W: Write + AsFd> PatientWriter<W> {
-    /// Creates a writer.
+impl<W: Write + AsFd> NonBlockingWriter<W> {
+    /// Creates a writer on top of `out`.
     pub fn new(out: W) -> Self {
         Self { out, line: Vec::new() }
     }
 
-    fn has_room(&self) -> bool {
+    fn is_writable(&self) -> bool {
         use rustix::event::{PollFd, PollFlags, Timespec, poll};
         let mut fds = [PollFd::new(&self.out, PollFlags::OUT)];
         let now = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -93,68 +93,70 @@
     }
 }
 
-impl<W: Write + AsFd> Write for PatientWriter<W> {
+impl<W: Write + AsFd> Write for NonBlockingWriter<W> {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(buf);
         Ok(buf.len())
     }
 
-    /// Writes what was gathered if there is room for it now. A line that can't be written, as on
-    /// a full disk, counts as left out: reported as an error, it would end the task that logs.
+    /// Writes the buffered line if that does not block. A line that cannot be written, for example
+    /// because the disk is full, is counted as dropped: reported as an error, it would terminate the task
+    /// that logs.
     fn flush(&mut self) -> io::Result<()> {
         let line = std::mem::take(&mut self.line);
-        let fits = line.len() <= MAX_LINE && self.has_room();
+        let fits = line.len() <= MAX_LINE_BYTES && self.is_writable();
         if !fits || self.out.write_all(&line).and_then(|()| self.out.flush()).is_err() {
-            NO_ROOM.fetch_add(1, Ordering::Relaxed);
+            UNWRITABLE_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 }
 
-/// Routine lines a second: about ten times what a box writes at its usual load.
-const LINES_PER_SECOND: u32 = 200;
-/// Warnings and errors a second.
-const WARNINGS_PER_SECOND: u32 = 50;
+/// Limit for lines below the level of a warning, per second: about ten times what a box writes
+/// under typical load.
+const MAX_LINES_PER_SECOND: u32 = 200;
+/// Limit for warnings and errors, per second.
+const MAX_WARNINGS_PER_SECOND: u32 = 50;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Lines written and left out in the present second.
+/// Lines counted in the current one-second window.
 #[derive(Clone, Copy)]
-struct Written {
-    since: Option<Instant>,
+struct Window {
+    started: Option<Instant>,
     lines: u32,
     warnings: u32,
-    left_out: u32,
+    dropped: u32,
 }
 
 thread_local! {
-    static WRITTEN: Cell<Written> =
-        const { Cell::new(Written { since: None, lines: 0, warnings: 0, left_out: 0 }) };
+    static WINDOW: Cell<Window> =
+        const { Cell::new(Window { started: None, lines: 0, warnings: 0, dropped: 0 }) };
 }
 
-/// Returns whether one more line may be written now.
-fn allowed(level: log::Level) -> bool {
-    let mut written = WRITTEN.get();
-    if written.since.is_none_or(|since| clock::since(since) >= SECOND) {
-        let left_out = written.left_out + NO_ROOM.swap(0, Ordering::Relaxed);
-        written = Written { since: Some(clock::now()), lines: 0, warnings: 0, left_out: 0 };
-        WRITTEN.set(written);
-        if left_out > 0 {
-            log::warn!(left_out = left_out; "log lines left out in the last second");
+/// Counts a line and returns whether it is within the rate limit of its level.
+fn within_limit(level: log::Level) -> bool {
+    let mut window = WINDOW.get();
+    if window.started.is_none_or(|started| clock::since(started) >= SECOND) {
+        let dropped = window.dropped + UNWRITABLE_LINES.swap(0, Ordering::Relaxed);
+        window = Window { started: Some(clock::now()), lines: 0, warnings: 0, dropped: 0 };
+        WINDOW.set(window);
+        if dropped > 0 {
+            log::warn!(left_out = dropped; "log lines left out in the last second");
         }
-        written = WRITTEN.get();
+        window = WINDOW.get();
     }
-    let (count, bound) = match level {
-        log::Level::Error | log::Level::Warn => (&mut written.warnings, WARNINGS_PER_SECOND),
-        _ => (&mut written.lines, LINES_PER_SECOND),
+    let (count, limit) = match level {
+        log::Level::Error | log::Level::Warn => (&mut window.warnings, MAX_WARNINGS_PER_SECOND),
+        _ => (&mut window.lines, MAX_LINES_PER_SECOND),
     };
     *count += 1;
-    let allowed = *count <= bound;
-    written.left_out += u32::from(!allowed);
-    WRITTEN.set(written);
-    allowed
+    let within_limit = *count <= limit;
+    window.dropped += u32::from(!within_limit);
+    WINDOW.set(window);
+    within_limit
 }
 
-/// Returns the wall clock in milliseconds since 1970.
+/// Returns the wall clock in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/hatchpitch/src/metrics.rs
+++ b/crates/hatchpitch/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, shown as Prometheus text.
+//! Counters, gauges and latency histograms, exported in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,23 +13,23 @@
 use crate::ids::{PoolName, Priority};
 use crate::quarantine::QuarantineList;
 
-/// Times that are measured for each pool and priority.
+/// Latencies recorded per pool and priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timing {
-    /// From the request to the first token.
+    /// From the arrival of the request to the first token.
     FirstToken,
     /// Between consecutive tokens of one answer.
     TokenGap,
-    /// A gap in which the stream made no progress beyond [`STALL_THRESHOLD`].
+    /// A gap between tokens longer than [`STALL_THRESHOLD`].
     Stall,
-    /// Waiting for admission.
+    /// Time spent waiting for admission.
     Wait,
 }
 
 /// Events that are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Count {
-    /// Requests taken in.
+    /// Requests received.
     Requests,
     /// Requests refused as not run.
     Refused,
@@ -37,31 +37,31 @@
     Unknown,
     /// Answers completed.
     Done,
-    /// Generations pushed aside by an engine.
+    /// Generations preempted by an engine.
     Preemptions,
-    /// Links to engines that were made anew.
+    /// Reconnections to engines.
     Relinks,
-    /// Generations run again elsewhere before their first token.
+    /// Generations restarted on another engine before their first token.
     Reruns,
-    /// Late, repeated or crossed messages that were dropped.
+    /// Late, duplicate or out-of-order messages that were dropped.
     DroppedMessages,
-    /// Callers that left early.
+    /// Callers that disconnected before the end of the answer.
     CallerLeft,
-    /// Callers that read too slowly.
+    /// Callers that were cut off because they read too slowly.
     CallerSlow,
-    /// Messages and requests that were malformed.
+    /// Malformed messages and requests.
     BadInput,
-    /// Presented keys that are not known.
+    /// Requests with an unknown key.
     UnknownKey,
-    /// Upstreams that were seen to crash.
+    /// Observed upstream crashes.
     Crashes,
-    /// Requests refused because they crash upstreams.
+    /// Requests refused because requests with the same content crash upstreams.
     Quarantined,
 }
 
-/// A gap between tokens from which on a stream counts as stalled.
+/// Gap between tokens above which a stream counts as stalled.
 pub const STALL_THRESHOLD: Duration = Duration::from_millis(500);
-/// Longest time told apart, in microseconds: one hour.
+/// Upper bound of the histograms, in microseconds: one hour. Longer times are recorded as this.
 const MAX_MICROS: u64 = 3_600_000_000;
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
@@ -72,29 +72,30 @@
     timings: BTreeMap<TimingKey, Histogram<u64>>,
     counts: BTreeMap<(Count, PoolName), u64>,
     gauges: BTreeMap<&'static str, f64>,
-    /// What was exchanged with other boxes, by path.
+    /// Traffic with other boxes, by path.
     traffic: BTreeMap<String, Traffic>,
 }
 
-/// The metrics of one process, shared by its tasks.
+/// Metrics of one process; clones share the same values.
 #[derive(Clone, Default)]
 pub struct Metrics(Rc<RefCell<Inner>>);
 
 impl Metrics {
-    /// Records a time.
+    /// Records a latency.
     ///
     /// # Panics
     ///
-    /// Never: the bounds of the histogram are constants that the library accepts.
+    /// Never: the histogram bounds are constants that the library accepts.
     pub fn time(&self, timing: Timing, pool: &str, priority: Priority, took: Duration) {
         let micros = u64::try_from(took.as_micros()).unwrap_or(MAX_MICROS).clamp(1, MAX_MICROS);
         let mut inner = self.0.borrow_mut();
-        let new = || Histogram::new_with_bounds(1, MAX_MICROS, 2).expect("constant bounds");
+        let new_histogram =
+            || Histogram::new_with_bounds(1, MAX_MICROS, 2).expect("constant bounds");
         let key = (timing, pool.to_owned(), priority);
-        inner.timings.entry(key).or_insert_with(new).saturating_record(micros);
+        inner.timings.entry(key).or_insert_with(new_histogram).saturating_record(micros);
     }
 
-    /// Counts an event; `pool` may be empty.
+    /// Increments a counter; `pool` may be empty.
     pub fn count(&self, count: Count, pool: &str) {
         *self.0.borrow_mut().counts.entry((count, pool.to_owned())).or_default() += 1;
     }
@@ -104,8 +105,8 @@
         self.0.borrow_mut().gauges.insert(name, value);
     }
 
-    /// Shows what was exchanged with other boxes, what waits to be sent to them, and the memory
-    /// of the process.
+    /// Updates the gauges for traffic with other boxes, messages queued for them, and resident
+    /// memory of the process.
     pub fn process(&self, boxes: &BoxClient) {
         let (traffic, waiting) = (boxes.traffic(), boxes.backlog().waiting());
         let sum = |of: fn(&Traffic) -> u64| traffic.values().map(of).sum::<u64>() as f64;
@@ -120,25 +121,25 @@
         }
     }
 
-    /// Shows the list of held requests.
+    /// Updates the gauges of the list of held requests.
     pub fn quarantine(&self, list: &QuarantineList) {
         self.gauge("hatchpitch_held_requests", list.held.len() as f64);
         self.gauge("hatchpitch_quarantine_revision", list.revision as f64);
     }
 
-    /// Shows the evacuations that hold.
+    /// Updates the gauges of the evacuations in force.
     pub fn evacuations(&self, evacuations: &Evacuations) {
         self.gauge("hatchpitch_evacuated_domains", evacuations.domains().count() as f64);
         self.gauge("hatchpitch_evacuations_revision", evacuations.revision() as f64);
     }
 
-    /// Returns a count over all pools.
+    /// Returns the sum of a counter over all pools.
     pub fn total(&self, count: Count) -> u64 {
         self.0.borrow().counts.iter().filter(|((c, _), _)| *c == count).map(|(_, n)| n).sum()
     }
 
-    /// Writes everything in the Prometheus text format: gauges first, which tell of the process,
-    /// as a reader may take no more than the beginning.
+    /// Renders all metrics in the Prometheus text format. Gauges come first because they describe
+    /// the whole process and a reader may truncate the text.
     pub fn render(&self) -> String {
         let inner = self.0.borrow();
         let mut out = String::new();
@@ -151,12 +152,12 @@
             let bytes = traffic.body_bytes;
             let _ = writeln!(out, "hatchpitch_box_path_body_bytes{{{label}}} {bytes}");
         }
-        let mut last = "";
+        let mut previous = "";
         for ((timing, pool, priority), histogram) in &inner.timings {
-            let name = timing_name(*timing);
-            if name != last {
+            let name = timing_metric(*timing);
+            if name != previous {
                 let _ = writeln!(out, "# TYPE {name} summary");
-                last = name;
+                previous = name;
             }
             let labels = format!("pool=\"{pool}\",priority=\"{priority}\"");
             for quantile in QUANTILES {
@@ -168,10 +169,10 @@
             let _ = writeln!(out, "{name}_sum{{{labels}}} {sum}");
         }
         for ((count, pool), value) in &inner.counts {
-            let name = count_name(*count);
-            if name != last {
+            let name = count_metric(*count);
+            if name != previous {
                 let _ = writeln!(out, "# TYPE {name} counter");
-                last = name;
+                previous = name;
             }
             let _ = writeln!(out, "{name}{{pool=\"{pool}\"}} {value}");
         }
@@ -179,15 +180,15 @@
     }
 }
 
-/// Returns the memory of this process that is in use, as the system counts it; `None` where the
-/// system does not tell.
+/// Returns the resident set size of this process in bytes, or `None` if the system does not
+/// report it.
 pub fn resident_bytes() -> Option<usize> {
     let pages = std::fs::read_to_string("/proc/self/statm").ok()?;
     let resident: usize = pages.split_whitespace().nth(1)?.parse().ok()?;
     Some(resident * rustix::param::page_size())
 }
 
-fn timing_name(timing: Timing) -> &'static str {
+fn timing_metric(timing: Timing) -> &'static str {
     match timing {
         Timing::FirstToken => "hatchpitch_first_token_seconds",
         Timing::TokenGap => "hatchpitch_token_gap_seconds",
@@ -196,7 +197,7 @@
     }
 }
 
-fn count_name(count: Count) -> &'static str {
+fn count_metric(count: Count) -> &'static str {
     match count {
         Count::Requests => "hatchpitch_requests_total",
         Count::Refused => "hatchpitch_refused_total",
--- a/crates/hatchpitch/src/outcome.rs
+++ b/crates/hatchpitch/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when a request has no answer: `not_run`, `done` or `unknown`.
+//! Outcome reported to callers with each answer: `not_run`, `done` or `unknown`.
 
 use std::time::Duration;
 
@@ -7,18 +7,19 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use serde::{Deserialize, Serialize};
 
-/// Header that carries the outcome of every answer.
+/// Response header that carries the outcome.
 pub const OUTCOME_HEADER: &str = "x-hatchpitch-outcome";
 
-/// Whether a request was run.
+/// Whether a request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No byte of the request reached an upstream, or the upstream itself says that it ran nothing.
+    /// No byte of the request reached an upstream, or the upstream reported that it did not execute
+    /// the request.
     NotRun,
-    /// It was run and this is its answer.
+    /// The request was executed and this is its answer.
     Done,
-    /// It may have been run.
+    /// The request may have been executed.
     Unknown,
 }
 
@@ -33,10 +34,10 @@
     }
 }
 
-/// A final answer other than success.
+/// An error response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: StatusCode,
     /// Stable name of the kind of problem.
     pub kind: &'static str,
@@ -44,18 +45,18 @@
     pub message: String,
     /// Whether the request was run.
     pub outcome: Outcome,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// The body of a [`Problem`], in the shape that clients of the usual API read.
+/// JSON body of a [`Problem`], in the error format of the OpenAI API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProblemBody {
     /// The problem.
     pub error: ProblemDetail,
 }
 
-/// The inner part of a [`ProblemBody`].
+/// The `error` object of a [`ProblemBody`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProblemDetail {
     /// What went wrong, for people.
@@ -65,42 +66,43 @@
     pub kind: String,
     /// Whether the request was run.
     pub outcome: Outcome,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller may retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// A request that is wrong itself; it was not run and would not be next time.
+    /// Creates a problem for an invalid request; it was not executed and a retry would fail as well.
     pub fn bad_request(message: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, "bad_request", message)
     }
 
-    /// A request that was not run.
+    /// Creates a problem for a request that was not executed.
     pub fn not_run(status: StatusCode, kind: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
         Self { status, kind, message, outcome: Outcome::NotRun, retry_after: None }
     }
 
-    /// A request that is not run, as others like it crashed what ran them.
+    /// Creates a problem for a request that is refused because requests with the same content
+    /// crashed upstreams.
     pub fn quarantined() -> Self {
         let message = "requests with this content crashed the upstreams that ran them";
         Self::not_run(StatusCode::SERVICE_UNAVAILABLE, "quarantined", message)
     }
 
-    /// A request that may have been run.
+    /// Creates a problem for a request that may have been executed.
     pub fn unknown(status: StatusCode, kind: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
         Self { status, kind, message, outcome: Outcome::Unknown, retry_after: None }
     }
 
-    /// Adds the time after which to come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Returns the body.
+    /// Returns the JSON body.
     pub fn body(&self) -> ProblemBody {
         let after = self.retry_after.map(|d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX));
         ProblemBody {
@@ -113,11 +115,11 @@
         }
     }
 
-    /// Returns the HTTP answer.
+    /// Converts the problem into an HTTP response.
     pub fn into_response(self) -> Response<Body> {
         let mut res = json_response(self.status, &self.body(), self.outcome);
         if let Some(after) = self.retry_after {
-            // The header has whole seconds; rounding up keeps callers from coming too early.
+            // `Retry-After` has whole seconds; rounding down would make callers retry too early.
             let seconds = after.as_millis().div_ceil(1_000);
             if let Ok(value) = HeaderValue::from_str(&seconds.to_string()) {
                 res.headers_mut().insert(header::RETRY_AFTER, value);
@@ -127,7 +129,7 @@
     }
 }
 
-/// Answers with a JSON body and the outcome in the header.
+/// Creates a response with a JSON body and the outcome header.
 pub fn json_response<T: Serialize>(
     status: StatusCode,
     body: &T,
@@ -142,7 +144,7 @@
     res
 }
 
-/// Answers with plain text.
+/// Creates a plain-text response.
 pub fn text_response(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     let mut res = Response::new(Body::from(text.into()));
     *res.status_mut() = status;
--- a/crates/hatchpitch/src/security.rs
+++ b/crates/hatchpitch/src/security.rs
@@ -1,4 +1,4 @@
-//! Callers' and operators' keys, and the signed token that names a response.
+//! API keys of callers and operators, and signed response tokens.
 
 use hatchpitch_net::KeyRing;
 use hatchpitch_net::keys::{from_hex, to_hex};
@@ -8,36 +8,38 @@
 
 use crate::ids::{GenerationId, PoolName, RunnerName, WorkspaceName};
 
+/// Purpose under which response tokens are signed.
 const TOKEN_PURPOSE: &str = "response-token";
-/// Bytes of randomness in a new key.
+/// Random bytes in a new key.
 const KEY_BYTES: usize = 24;
 
-/// Returns the bearer token of a request.
+/// Returns the bearer token of the `Authorization` header.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let (scheme, token) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| token.trim())
 }
 
-/// Makes a new random key for a workspace, an operator or the boxes.
+/// Generates a random key for a workspace, an operator or the boxes.
 pub fn new_key() -> String {
     let mut bytes = [0_u8; KEY_BYTES];
     rand::rng().fill(&mut bytes);
     format!("hp-{}", to_hex(&bytes))
 }
 
-/// Where a response is generated, so that any box can resume it without shared state.
+/// Location of a generation. Callers present it to resume a response, so that any box can do so
+/// without shared state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseToken {
-    /// The runner that holds the generation.
+    /// Runner that executes the generation.
     pub runner: RunnerName,
-    /// The runner's pool.
+    /// Pool of the runner.
     pub pool: PoolName,
-    /// The generation.
+    /// Id of the generation.
     pub generation: GenerationId,
-    /// The workspace that may read it.
+    /// Workspace that may read the response.
     pub workspace: WorkspaceName,
-    /// Whether chunks have the chat shape.
+    /// Whether chunks use the chat completion format.
     pub chat: bool,
 }
 
@@ -46,14 +48,14 @@
     ///
     /// # Panics
     ///
-    /// Never: the token's types always encode.
+    /// Never: all field types can be encoded.
     pub fn seal(&self, keys: &KeyRing) -> String {
         let bytes = rmp_serde::to_vec(self).expect("a response token always encodes");
         let signature = keys.sign(TOKEN_PURPOSE, &[&bytes]);
         format!("{}.{signature}", to_hex(&bytes))
     }
 
-    /// Verifies and decodes a token; `None` if it was not made by a box of the fleet.
+    /// Verifies and decodes a token; `None` if its signature or encoding is invalid.
     pub fn open(keys: &KeyRing, text: &str) -> Option<Self> {
         let (hex, signature) = text.split_once('.')?;
         let bytes = from_hex(hex)?;
--- a/crates/hatchpitch/src/signals.rs
+++ b/crates/hatchpitch/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask a process to stop or to read its settings again.
+//! Handling of SIGTERM, SIGINT (stop) and SIGHUP (reload settings).
 
 use std::task::Poll;
 
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 ///
-/// Returns the system's error if the signals cannot be watched.
+/// Returns the system's error if the signal handlers cannot be installed.
 pub async fn stop_requested() -> std::io::Result<()> {
     let term = compio::signal::unix::signal(libc::SIGTERM);
     let int = compio::signal::unix::signal(libc::SIGINT);
@@ -19,42 +19,43 @@
     }
 }
 
-/// Keeps SIGHUP from ending the process, from now on: by default it does, before anybody listens
-/// for it and between two listenings.
+/// Prevents SIGHUP from terminating the process from now on. Its default action would do so while
+/// no listener is registered, such as before the first one and between two of them.
 pub async fn hold_hangups() {
     match listen().await {
-        // Given up, the last listener would give the signal its default action back.
+        // Dropping the last listener would restore the default action of the signal.
         Ok(listener) => std::mem::forget(listener),
-        Err(err) => log::error!("SIGHUP cannot be watched: {err}"),
+        Err(err) => log::error!("cannot listen for SIGHUP: {err}"),
     }
 }
 
-/// Calls `reload` after each SIGHUP until `stop`. Signals that come close together may lead to one
-/// call, which begins after the last of them.
+/// Calls `reload` after each SIGHUP until `stop` is set. Signals in quick succession may be merged
+/// into one call, which starts after the last of them.
 pub fn on_hangup(reload: impl Fn() + 'static, stop: Stop) {
     compio::runtime::spawn(async move {
         let mut listener = listen().await;
         while !stop.is_set() {
-            let heard = match listener {
+            let received = match listener {
                 Ok(listener) => listener.await,
                 Err(err) => Err(err),
             };
-            if let Err(err) = heard {
-                log::error!("SIGHUP cannot be watched: {err}");
+            if let Err(err) = received {
+                log::error!("cannot listen for SIGHUP: {err}");
                 return;
             }
-            // A signal that comes while the settings are read is heard of by the next listener.
+            // Registered before the reload, so that a signal during the reload is not lost.
             listener = listen().await;
-            log::info!("asked to read the settings again");
+            log::info!("received SIGHUP; reloading settings");
             reload();
         }
     })
     .detach();
 }
 
+/// Resolves when SIGHUP is received.
 type Listener = LocalBoxFuture<'static, std::io::Result<()>>;
 
-/// Begins to listen for SIGHUP; what is returned resolves with the next one.
+/// Registers a listener for SIGHUP and returns a future that resolves at the next one.
 async fn listen() -> std::io::Result<Listener> {
     let mut listener = compio::signal::unix::signal(libc::SIGHUP).boxed_local();
     match poll!(&mut listener) {
--- a/crates/hatchpitch/src/trace.rs
+++ b/crates/hatchpitch/src/trace.rs
@@ -1,8 +1,9 @@
-//! Traces: a span for each hop, with W3C `traceparent` in and out.
+//! Distributed tracing: one span per hop, propagated as W3C `traceparent`.
 //!
-//! Finished spans go to the log as JSON lines and stay for a while in a ring
-//! that `hatchpitch trace` reads from every box. The span libraries at hand
-//! report from a thread of their own, which the one-thread rule excludes.
+//! Finished spans are logged as JSON lines and kept in a bounded ring buffer
+//! that `hatchpitch trace` reads from every box. The available tracing
+//! libraries export spans from a thread of their own, which the single-threaded
+//! design of the daemons rules out.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,29 +18,29 @@
 use crate::ids::BoxName;
 use crate::logging::unix_ms;
 
-/// Header that carries the trace.
+/// Header that carries the trace context.
 pub const TRACEPARENT: &str = "traceparent";
-/// Spans kept in memory a box.
-const KEPT_SPANS: usize = 4_096;
+/// Capacity of the ring buffer of finished spans, per box.
+const MAX_FINISHED_SPANS: usize = 4_096;
 
 /// A finished span.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SpanRecord {
-    /// Trace, 32 hexadecimal digits.
+    /// Trace id, 32 hexadecimal digits.
     pub trace: String,
-    /// Span, 16 hexadecimal digits.
+    /// Span id, 16 hexadecimal digits.
     pub span: String,
-    /// Parent span; empty at the root.
+    /// Id of the parent span; empty for a root span.
     pub parent: String,
-    /// What was done.
+    /// Name of the operation.
     pub name: String,
-    /// Where it was done.
+    /// Box that recorded the span.
     pub at: BoxName,
-    /// Start, in milliseconds since 1970.
+    /// Start, in milliseconds since the Unix epoch.
     pub start_ms: u64,
-    /// Duration in microseconds.
+    /// Duration, in microseconds.
     pub micros: u64,
-    /// Facts about it; never keys or prompt text.
+    /// Attributes as key-value pairs; they never contain API keys or prompt text.
     pub notes: Vec<(String, String)>,
 }
 
@@ -47,25 +48,26 @@
 #[derive(Clone)]
 pub struct Tracer {
     at: BoxName,
-    kept: Rc<RefCell<VecDeque<SpanRecord>>>,
+    finished: Rc<RefCell<VecDeque<SpanRecord>>>,
 }
 
 impl Tracer {
     /// Creates a tracer for a box.
     pub fn new(at: BoxName) -> Self {
-        Self { at, kept: Rc::default() }
+        Self { at, finished: Rc::default() }
     }
 
-    /// Starts a span under the caller's trace, or a new trace if there is none.
+    /// Starts a span that continues the trace of the request headers, or a new trace if they carry
+    /// none.
     pub fn start(&self, name: &str, headers: &HeaderMap) -> Span {
         let parent = headers.get(TRACEPARENT).and_then(|v| v.to_str().ok()).and_then(parse);
         let (trace, parent) = parent.unwrap_or_else(|| (random_hex(16), String::new()));
         self.span(name, trace, parent)
     }
 
-    /// Returns the kept spans of a trace.
+    /// Returns the spans of a trace that are still in the ring buffer.
     pub fn find(&self, trace: &str) -> Vec<SpanRecord> {
-        self.kept.borrow().iter().filter(|s| s.trace == trace).cloned().collect()
+        self.finished.borrow().iter().filter(|s| s.trace == trace).cloned().collect()
     }
 
     fn span(&self, name: &str, trace: String, parent: String) -> Span {
@@ -82,19 +84,19 @@
         Span { tracer: self.clone(), record, started: clock::now() }
     }
 
-    fn keep(&self, record: SpanRecord) {
+    fn record(&self, record: SpanRecord) {
         if let Ok(line) = serde_json::to_string(&record) {
             log::debug!(target: "span", "{line}");
         }
-        let mut kept = self.kept.borrow_mut();
-        if kept.len() == KEPT_SPANS {
-            kept.pop_front();
+        let mut finished = self.finished.borrow_mut();
+        if finished.len() == MAX_FINISHED_SPANS {
+            finished.pop_front();
         }
-        kept.push_back(record);
+        finished.push_back(record);
     }
 }
 
-/// A span in progress; it is recorded when dropped.
+/// A span in progress; it is finished and recorded when dropped.
 pub struct Span {
     tracer: Tracer,
     record: SpanRecord,
@@ -102,22 +104,22 @@
 }
 
 impl Span {
-    /// Starts a span below this one.
+    /// Starts a child span.
     pub fn child(&self, name: &str) -> Self {
         self.tracer.span(name, self.record.trace.clone(), self.record.span.clone())
     }
 
-    /// Notes a fact.
+    /// Adds an attribute.
     pub fn note(&mut self, key: &str, value: impl std::fmt::Display) {
         self.record.notes.push((key.to_owned(), value.to_string()));
     }
 
-    /// Returns the header value for the next hop.
+    /// Returns the `traceparent` header value for the next hop.
     pub fn traceparent(&self) -> String {
         format!("00-{}-{}-01", self.record.trace, self.record.span)
     }
 
-    /// Returns the id of the trace.
+    /// Returns the trace id.
     pub fn trace(&self) -> &str {
         &self.record.trace
     }
@@ -127,11 +129,11 @@
     fn drop(&mut self) {
         let mut record = self.record.clone();
         record.micros = u64::try_from(clock::since(self.started).as_micros()).unwrap_or(u64::MAX);
-        self.tracer.keep(record);
+        self.tracer.record(record);
     }
 }
 
-/// Parses a `traceparent` of version 00 into trace and span.
+/// Parses a `traceparent` header of version 00 into trace id and span id.
 fn parse(text: &str) -> Option<(String, String)> {
     let mut parts = text.split('-');
     let (version, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
--- a/crates/hatchpitch/tests/explain.rs
+++ b/crates/hatchpitch/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The story of a request from the logs of several boxes.
+//! Tests for assembling the timeline of a request from the logs of several boxes.
 
 use hatchpitch::explain::{LogFile, explain};
 use serde_json::json;
@@ -14,16 +14,17 @@
     line.to_string() + "\n"
 }
 
-fn messages(files: &[String], request: &str) -> (Vec<String>, String) {
+/// Returns box and message of each line of the timeline, and how the request ended.
+fn timeline(files: &[String], request: &str) -> (Vec<String>, String) {
     let files: Vec<LogFile> = files.iter().map(|text| LogFile::parse(text)).collect();
-    let story = explain(request, &files);
-    let lines = story.lines.iter();
-    let told = lines.map(|line| format!("{} {}", line.box_name, line.message)).collect();
-    (told, story.end)
+    let timeline = explain(request, &files);
+    let lines = timeline.lines.iter();
+    let messages = lines.map(|line| format!("{} {}", line.box_name, line.message)).collect();
+    (messages, timeline.end)
 }
 
 #[test]
-fn a_broken_stream_is_told_with_what_happened_to_its_upstream() {
+fn a_broken_stream_includes_the_lines_about_its_upstream() {
     let entry = [
         line(1_000, "e1", "answered", json!({"request": "r", "outcome": "done"})),
         line(1_100, "e1", "answered", json!({"request": "another", "outcome": "done"})),
@@ -42,9 +43,9 @@
         line(90_000, "c1", "upstream i-7: its life ended", json!({})),
     ]
     .concat();
-    let (told, end) = messages(&[entry, control], "r");
+    let (messages, end) = timeline(&[entry, control], "r");
     assert_eq!(
-        told,
+        messages,
         [
             "c1 upstream i-7 of s at 1.2.3.4:5: Serving, sequence 1",
             "e1 answered",
@@ -56,13 +57,13 @@
 }
 
 #[test]
-fn a_box_that_ended_before_it_answered_is_told() {
+fn a_box_restart_before_the_answer_is_reported() {
     let entry = [
         line(2_000, "e1", "move of a generation", json!({"request": "r", "upstream": "i-7"})),
         line(6_500, "e1", "entry box e1 serves callers at 1.1.1.1:1", json!({})),
     ]
     .concat();
-    let (_, end) = messages(&[entry], "r");
+    let (_, end) = timeline(&[entry], "r");
     assert_eq!(
         end,
         "box e1 ended before it answered; it started again 4500 ms after the last line"
@@ -70,22 +71,22 @@
 }
 
 #[test]
-fn a_clock_that_was_set_back_does_not_change_the_order_of_a_file() {
+fn lines_of_a_file_keep_their_order_when_the_clock_is_set_back() {
     let entry = [
         line(9_000, "e1", "an upstream did not answer the request", json!({"request": "r"})),
         line(2_000, "e1", "answered", json!({"request": "r", "outcome": "unknown"})),
     ]
     .concat();
-    let (told, end) = messages(&[entry], "r");
-    assert_eq!(told, ["e1 an upstream did not answer the request", "e1 answered"]);
+    let (messages, end) = timeline(&[entry], "r");
+    assert_eq!(messages, ["e1 an upstream did not answer the request", "e1 answered"]);
     assert_eq!(end, "answered at box e1, unknown");
 }
 
 #[test]
-fn noise_in_the_files_is_counted_and_an_unknown_request_is_said_so() {
+fn unparsable_lines_are_counted_and_an_unknown_request_is_reported() {
     let files = [LogFile::parse("not JSON\n{\"message\": \"no time\"}\n")];
-    let story = explain("r", &files);
-    assert_eq!((story.lines.len(), story.unreadable), (0, 2));
-    assert_eq!(story.end, "no line of the logs names it");
-    assert!(story.text().ends_with("2 lines of the files could not be read"));
+    let timeline = explain("r", &files);
+    assert_eq!((timeline.lines.len(), timeline.unreadable), (0, 2));
+    assert_eq!(timeline.end, "no line of the logs names it");
+    assert!(timeline.text().ends_with("2 lines of the files could not be read"));
 }
--- a/crates/hatchpitch/tests/logging.rs
+++ b/crates/hatchpitch/tests/logging.rs
@@ -1,16 +1,16 @@
-//! Log lines never hold a process up.
+//! Logging never blocks the process or fails.
 
 use std::io::{Read as _, Write as _};
 use std::os::unix::net::UnixStream;
 
-use hatchpitch::logging::PatientWriter;
+use hatchpitch::logging::NonBlockingWriter;
 
 #[test]
-fn a_reader_that_is_behind_costs_lines_and_no_time() {
+fn a_slow_reader_drops_lines_and_does_not_block() {
     let (mut reader, out) = UnixStream::pair().unwrap();
-    let mut writer = PatientWriter::new(out);
+    let mut writer = NonBlockingWriter::new(out);
     let line = [b"x".repeat(999), b"\n".to_vec()].concat();
-    // Far more than any socket buffers: this would never return if a write blocked.
+    // Far more than a socket buffers: the loop would never finish if a write blocked.
     for _ in 0..20_000 {
         writer.write_all(&line).unwrap();
         writer.flush().unwrap();
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn lines_come_through_while_they_are_read() {
+fn no_line_is_dropped_while_the_reader_keeps_up() {
     let (reader, out) = UnixStream::pair().unwrap();
-    let mut writer = PatientWriter::new(out);
-    let reading = std::thread::spawn(move || {
+    let mut writer = NonBlockingWriter::new(out);
+    let reader_thread = std::thread::spawn(move || {
         let mut text = String::new();
         (&reader).read_to_string(&mut text).unwrap();
         text
@@ -37,15 +37,15 @@
         writer.flush().unwrap();
     }
     drop(writer);
-    assert_eq!(reading.join().unwrap().lines().count(), 10);
+    assert_eq!(reader_thread.join().unwrap().lines().count(), 10);
 }
 
 #[test]
-fn a_disk_that_is_full_costs_lines_and_no_error() {
-    // Every write to this device fails for want of room. An error would come back to the caller
-    // of the log, whose last resort is to panic.
+fn a_full_disk_drops_lines_without_an_error() {
+    // Every write to this device fails with ENOSPC. The logging library panics if it can report
+    // an error in no other way.
     let out = std::fs::OpenOptions::new().write(true).open("/dev/full").unwrap();
-    let mut writer = PatientWriter::new(out);
+    let mut writer = NonBlockingWriter::new(out);
     for _ in 0..3 {
         writer.write_all(b"a line\n").unwrap();
         writer.flush().unwrap();
