--- a/crates/net/src/backlog.rs
+++ b/crates/net/src/backlog.rs
@@ -1,55 +1,56 @@
-//! Counts what waits to be sent to other boxes.
+//! Accounts for messages queued to be sent to other boxes.
 //!
-//! A message is kept in memory until its connection has taken it, so a peer that
-//! reads slowly, or many that ask at one time, show here before they show in the
-//! memory of the process.
+//! A message stays in memory until its connection has accepted it, so a slow
+//! reader or many simultaneous requests show up here before they show up in the
+//! memory usage of the process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
 
-/// Bytes that wait from which on nothing large is to be added. A link of 100 Mbit/s passes them in
-/// 84 ms, so that heartbeats behind them arrive in time; and however many boxes ask, what is made
-/// for them takes no more memory than this and one message.
-const ROOM: usize = 1024 * 1024;
+/// Queued bytes above which no further large message should be queued. A link of 100 Mbit/s sends
+/// this many in 84 ms, so heartbeats queued behind them still arrive in time. It also bounds the
+/// memory for large messages to this plus one message, however many boxes request them.
+const LARGE_MESSAGE_THRESHOLD: usize = 1024 * 1024;
 
-/// What waits at one moment.
+/// Snapshot of a [`Backlog`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Waiting {
-    /// Messages that no connection has taken whole.
+    /// Messages not yet fully accepted by a connection.
     pub messages: usize,
-    /// Their bytes.
+    /// Total size of these messages, in bytes.
     pub bytes: usize,
-    /// The most bytes that waited at any moment so far.
+    /// Highest value of `bytes` so far.
     pub peak_bytes: usize,
 }
 
-/// Counts the messages of one process that wait to be sent; clones share the count.
+/// Counters the queued messages of one process; clones share the counters.
 #[derive(Debug, Clone, Default)]
-pub struct Backlog(Arc<Counts>);
+pub struct Backlog(Arc<Counters>);
 
-// The counts are atomic as a message's owner may be dropped by whoever holds its bytes last.
+// The counters are atomic because `Bytes::from_owner` requires a `Send` owner, which is dropped
+// wherever the last handle to its bytes is.
 #[derive(Debug, Default)]
-struct Counts {
+struct Counters {
     messages: AtomicUsize,
     bytes: AtomicUsize,
     peak_bytes: AtomicUsize,
 }
 
-/// A message that counts for as long as its bytes are held.
-struct Counted {
+/// Owner of a message's bytes; subtracts the message from the backlog when dropped.
+struct QueuedMessage {
     message: Vec<u8>,
     backlog: Backlog,
 }
 
-impl AsRef<[u8]> for Counted {
+impl AsRef<[u8]> for QueuedMessage {
     fn as_ref(&self) -> &[u8] {
         &self.message
     }
 }
 
-impl Drop for Counted {
+impl Drop for QueuedMessage {
     fn drop(&mut self) {
         self.backlog.0.messages.fetch_sub(1, Ordering::Relaxed);
         self.backlog.0.bytes.fetch_sub(self.message.len(), Ordering::Relaxed);
@@ -57,7 +58,7 @@
 }
 
 impl Backlog {
-    /// Returns what waits now.
+    /// Returns the current counts.
     pub fn waiting(&self) -> Waiting {
         Waiting {
             messages: self.0.messages.load(Ordering::Relaxed),
@@ -66,16 +67,16 @@
         }
     }
 
-    /// Returns whether a large message may be added now.
+    /// Returns whether a large message may be queued now.
     pub fn has_room(&self) -> bool {
-        self.waiting().bytes <= ROOM
+        self.waiting().bytes <= LARGE_MESSAGE_THRESHOLD
     }
 
-    /// Counts a message until its bytes are dropped.
+    /// Adds a message to the backlog until the returned bytes are dropped.
     pub fn count(&self, message: Vec<u8>) -> Bytes {
         self.0.messages.fetch_add(1, Ordering::Relaxed);
         let bytes = self.0.bytes.fetch_add(message.len(), Ordering::Relaxed) + message.len();
         self.0.peak_bytes.fetch_max(bytes, Ordering::Relaxed);
-        Bytes::from_owner(Counted { message, backlog: self.clone() })
+        Bytes::from_owner(QueuedMessage { message, backlog: self.clone() })
     }
 }
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,8 +1,8 @@
-//! Message bodies: whole, or fed piece by piece through a bounded channel.
+//! Message bodies: complete, or streamed in chunks through a bounded channel.
 //!
-//! A streaming body ends well when its sender is dropped. [`BodySender::abort`]
-//! ends it with an error instead, so that the connection is closed without the
-//! end of the message and no reader takes a part for the whole.
+//! A streaming body ends normally when its sender is dropped. [`BodySender::abort`]
+//! ends it with an error instead: the connection is closed without the end of the
+//! message, so that the reader does not mistake a truncated body for a complete one.
 
 use std::cell::Cell;
 use std::fmt;
@@ -22,20 +22,20 @@
 /// A body that a handler returns or a client sends.
 #[derive(Debug)]
 pub enum Body {
-    /// All bytes are known.
+    /// A complete body.
     Full(Option<Bytes>),
-    /// Bytes arrive through a [`BodySender`]; the body ends when it is dropped.
+    /// A body streamed through a [`BodySender`]; it ends when the sender is dropped.
     Stream(BodyReceiver),
 }
 
-/// The receiving end of a streaming body.
+/// Receiving end of a streaming body.
 #[derive(Debug)]
 pub struct BodyReceiver {
     rx: mpsc::Receiver<Bytes>,
     aborted: Rc<Cell<bool>>,
 }
 
-/// Feeds a streaming body. The bound of the channel is the back-pressure.
+/// Sending end of a streaming body. The bounded channel provides backpressure.
 #[derive(Debug)]
 pub struct BodySender {
     tx: mpsc::Sender<Bytes>,
@@ -48,7 +48,7 @@
         Self::Full(None)
     }
 
-    /// Creates a streaming body that buffers at most `depth` pieces.
+    /// Creates a streaming body that buffers `depth` chunks, and one more for its sender.
     pub fn stream(depth: usize) -> (BodySender, Self) {
         let (tx, rx) = mpsc::channel(depth);
         let aborted = Rc::new(Cell::new(false));
@@ -70,21 +70,21 @@
 }
 
 impl BodySender {
-    /// Sends one piece, waiting while the reader is behind.
+    /// Sends one chunk, waiting while the channel is full.
     ///
     /// # Errors
     ///
-    /// Returns [`BodyError::Closed`] when the reader has gone.
-    pub async fn send(&mut self, piece: Bytes) -> Result<(), BodyError> {
-        self.tx.send(piece).await.map_err(|_| BodyError::Closed)
+    /// Returns [`BodyError::Closed`] when the reader has closed the body.
+    pub async fn send(&mut self, chunk: Bytes) -> Result<(), BodyError> {
+        self.tx.send(chunk).await.map_err(|_| BodyError::Closed)
     }
 
-    /// Ends the body with an error: the reader sees that the rest is missing.
+    /// Ends the body with an error, which tells the reader that it is truncated.
     pub fn abort(self) {
         self.aborted.set(true);
     }
 
-    /// Returns whether the reader has gone.
+    /// Returns whether the reader has closed the body.
     pub fn is_closed(&self) -> bool {
         self.tx.is_closed()
     }
@@ -104,7 +104,7 @@
                 Poll::Ready(None) if body.aborted.get() => {
                     Poll::Ready(Some(Err(BodyError::Broken("the rest is missing".to_owned()))))
                 }
-                polled => polled.map(|piece| piece.map(|piece| Ok(Frame::data(piece)))),
+                polled => polled.map(|chunk| chunk.map(|chunk| Ok(Frame::data(chunk)))),
             },
         }
     }
@@ -121,16 +121,16 @@
     }
 }
 
-/// Why a body could not be read or written.
+/// Error of reading or writing a body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BodyError {
-    /// The other side has gone.
+    /// The peer has closed the body.
     Closed,
-    /// The body is larger than the bound, in bytes.
+    /// The body is larger than this limit, in bytes.
     TooLarge(usize),
-    /// The body did not arrive in time.
+    /// The body was not complete within this time.
     TooSlow(Duration),
-    /// The connection broke or the framing is wrong.
+    /// The connection failed or the framing is invalid.
     Broken(String),
 }
 
@@ -147,17 +147,17 @@
 
 impl std::error::Error for BodyError {}
 
-/// Returns whether the head of a message tells where its body ends. The sender of one that does
-/// not may have crashed where it seems to end.
+/// Returns whether the headers of a message define where its body ends. Without them, the end of
+/// the body cannot be told from a crash of the sender.
 pub fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Reads a whole body of at most `max` bytes within `limit`.
+/// Reads a complete body of at most `max` bytes within `limit`.
 ///
 /// # Errors
 ///
-/// Returns a [`BodyError`] naming the bound that was passed.
+/// Returns a [`BodyError`] if a limit is exceeded or the connection fails.
 pub async fn read_body(body: Incoming, max: usize, limit: Duration) -> Result<Bytes, BodyError> {
     match compio::time::timeout(limit, collect(body, max)).await {
         Ok(read) => read,
@@ -167,20 +167,20 @@
 
 async fn collect(mut body: Incoming, max: usize) -> Result<Bytes, BodyError> {
     let mut buf = BytesMut::new();
-    while let Some(piece) = read_stream(&mut body).await? {
-        if buf.len() + piece.len() > max {
+    while let Some(chunk) = read_stream(&mut body).await? {
+        if buf.len() + chunk.len() > max {
             return Err(BodyError::TooLarge(max));
         }
-        buf.extend_from_slice(&piece);
+        buf.extend_from_slice(&chunk);
     }
     Ok(buf.freeze())
 }
 
-/// Reads the next piece of a body; `None` is its regular end.
+/// Reads the next chunk of a body; `None` marks its regular end.
 ///
 /// # Errors
 ///
-/// Returns [`BodyError::Broken`] when the connection ended before the body did.
+/// Returns [`BodyError::Broken`] when the connection ends before the body does.
 pub async fn read_stream(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
     loop {
         let Some(frame) = body.frame().await else {
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,9 +1,9 @@
-//! A client for upstreams whose errors tell how far a request got.
+//! HTTP client for upstreams whose errors tell how far a request got.
 //!
-//! The promise "not run is true" rests on this file: only
-//! [`SendStep::Connect`] and [`SendStep::Unsent`] mean that no byte of the
-//! request can have left this process. One request uses one connection, so a
-//! late answer can never be read by the next request.
+//! The guarantee that a request reported as `not_run` was not executed depends
+//! on this module: only [`SendStep::Connect`] and [`SendStep::Unsent`] mean that
+//! no byte of the request can have left this process. Each request uses a
+//! connection of its own, so a late answer is never read as that of the next request.
 
 use std::fmt;
 use std::io::ErrorKind;
@@ -16,13 +16,13 @@
 use hyper::client::conn::http1;
 
 use crate::Body;
-use crate::server::bound_silence;
-use crate::stream::{Stream, USUAL};
+use crate::server::set_silence_timeouts;
+use crate::stream::{DEFAULT_IO_BYTES, Stream};
 
 /// The step of a call to an upstream at which it failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendStep {
-    /// No connection came to be; nothing was sent.
+    /// No connection was established; nothing was sent.
     Connect,
     /// The connection closed before any byte of the request was written.
     Unsent,
@@ -37,12 +37,12 @@
     pub step: SendStep,
     /// The upstream's address.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// Description of the failure.
     pub cause: String,
 }
 
 impl SendError {
-    /// Returns whether the upstream cannot have seen the request.
+    /// Returns whether it is certain that no part of the request reached the upstream.
     pub fn is_not_run(&self) -> bool {
         matches!(self.step, SendStep::Connect | SendStep::Unsent)
     }
@@ -56,30 +56,30 @@
 
 impl std::error::Error for SendError {}
 
-/// Whether an upstream takes connections.
+/// Whether an upstream accepts connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listening {
-    /// It does.
+    /// The upstream accepted a connection.
     Yes,
-    /// Its host says that nobody listens there.
+    /// The host refused the connection: no process listens on the port.
     No,
-    /// There is no telling: it is silent, or out of reach.
+    /// Unknown: the connect timed out or failed for another reason.
     Unclear,
 }
 
-/// An upstream's address with the bounds on calls to it.
+/// Address of an upstream and the timeout of connects to it.
 #[derive(Debug, Clone, Copy)]
 pub struct Upstream {
-    /// Where the upstream listens.
+    /// Address that the upstream listens on.
     pub addr: SocketAddr,
-    /// How long a connect may take.
+    /// Longest time that a connect may take.
     pub connect_timeout: Duration,
 }
 
 impl Upstream {
-    /// Sends one request on a connection of its own and waits for the head of the answer.
+    /// Sends one request on a new connection and waits up to `head_timeout` for the response head.
     ///
-    /// Dropping the returned future or the answer's body closes the connection.
+    /// Dropping the returned future or the response body closes the connection.
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
     ) -> Result<Response<Incoming>, SendError> {
         let fail = |step, cause: String| SendError { step, peer: self.addr, cause };
         let stream = self.connect().await?;
-        let handshake = http1::handshake(Stream::new(stream, USUAL)).await;
+        let handshake = http1::handshake(Stream::new(stream, DEFAULT_IO_BYTES)).await;
         let (mut tx, conn) = handshake.map_err(|err| fail(SendStep::Connect, err.to_string()))?;
         compio::runtime::spawn(async move {
             if let Err(err) = conn.await {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Finds out whether anybody listens at the address, by a connection that is closed at once.
+    /// Probes whether the upstream listens, with a connection that is closed immediately.
     pub async fn listening(&self) -> Listening {
         match compio::time::timeout(self.connect_timeout, TcpStream::connect(self.addr)).await {
             Ok(Ok(_)) => Listening::Yes,
@@ -129,7 +129,7 @@
             .map_err(|_| fail(format!("no connection within {:?}", self.connect_timeout)))?
             .map_err(|err| fail(err.to_string()))?;
         stream.set_nodelay(true).map_err(|err| fail(err.to_string()))?;
-        bound_silence(&stream).map_err(|err| fail(err.to_string()))?;
+        set_silence_timeouts(&stream).map_err(|err| fail(err.to_string()))?;
         Ok(stream)
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,10 +1,9 @@
 //! HTTP over compio for the processes of hatchpitch.
 //!
-//! This crate is the only one that touches sockets. It exists so that the
-//! duties in the `hatchpitch` library can be written against three small
-//! things: a bounded server ([`serve`]), a client whose errors say how much of
-//! a request can have reached the peer ([`Upstream`]), and signed messages
-//! between boxes ([`BoxClient`]).
+//! Only this crate uses sockets directly. The `hatchpitch` library builds on
+//! three interfaces: a server with resource limits ([`serve`]), a client whose
+//! errors tell whether a request can have reached the peer ([`Upstream`]), and
+//! signed messages between boxes ([`BoxClient`]).
 
 pub mod backlog;
 pub mod body;
--- a/crates/net/src/rpc.rs
+++ b/crates/net/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Signed calls between boxes: HTTP `POST` with an `rmp-serde` body.
+//! Signed RPC between boxes: HTTP `POST` with a MessagePack body.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 /// Header that carries the signature of a message between boxes.
 pub const SIGNATURE_HEADER: &str = "x-hatchpitch-signature";
 /// Purpose under which messages between boxes are signed.
-const PURPOSE: &str = "box-message";
-/// Largest answer read from another box, in bytes.
+const SIGNATURE_PURPOSE: &str = "box-message";
+/// Largest accepted response from another box, in bytes.
 const MAX_ANSWER: usize = 64 * 1024 * 1024;
 const CONTENT_TYPE: &str = "application/msgpack";
 
@@ -27,9 +27,9 @@
 pub enum CallStep {
     /// The message could not be encoded.
     Encode,
-    /// The call could not be sent or was not answered.
+    /// The call could not be sent or was not answered in time.
     Send,
-    /// The box answered with a refusal.
+    /// The box answered with a status other than 200.
     Refused,
     /// The answer could not be decoded.
     Decode,
@@ -42,7 +42,7 @@
     pub step: CallStep,
     /// The box's address.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// Description of the failure.
     pub cause: String,
 }
 
@@ -54,7 +54,7 @@
 
 impl std::error::Error for CallError {}
 
-/// Calls other boxes over kept connections, signing each message.
+/// RPC client for other boxes. Reuses connections and signs each message.
 #[derive(Clone)]
 pub struct BoxClient {
     http: cyper::Client,
@@ -63,12 +63,12 @@
     backlog: Backlog,
 }
 
-/// What a [`BoxClient`] has exchanged on one path; heads of messages are not counted.
+/// Traffic of a [`BoxClient`] on one path, without message headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Calls begun.
+    /// Number of calls started.
     pub calls: u64,
-    /// Bytes of the bodies sent and received.
+    /// Total size of the bodies sent and received, in bytes.
     pub body_bytes: u64,
 }
 
@@ -88,36 +88,36 @@
         &self.keys
     }
 
-    /// Returns what was exchanged so far, by the path of the calls.
+    /// Returns the traffic so far, by path.
     pub fn traffic(&self) -> BTreeMap<String, Traffic> {
         self.traffic.borrow().clone()
     }
 
-    /// Returns the count of what this process has to send to other boxes.
+    /// Returns the backlog of messages queued for other boxes.
     pub fn backlog(&self) -> &Backlog {
         &self.backlog
     }
 
-    /// Answers another box with an `rmp-serde` body, which counts as waiting until it is sent.
+    /// Creates a MessagePack response to another box and counts it in the backlog until it is sent.
     pub fn respond<A: Serialize>(&self, answer: &A) -> Response<Body> {
         match rmp_serde::to_vec_named(answer) {
             Ok(bytes) => message_response(self.backlog.count(bytes)),
-            Err(err) => plain(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
+            Err(err) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
         }
     }
 
-    fn count(&self, path: &str, calls: u64, bytes: usize) {
+    fn record_traffic(&self, path: &str, calls: u64, bytes: usize) {
         let mut traffic = self.traffic.borrow_mut();
         if !traffic.contains_key(path) {
             traffic.insert(path.to_owned(), Traffic::default());
         }
-        if let Some(own) = traffic.get_mut(path) {
-            own.calls += calls;
-            own.body_bytes += bytes as u64;
+        if let Some(entry) = traffic.get_mut(path) {
+            entry.calls += calls;
+            entry.body_bytes += bytes as u64;
         }
     }
 
-    /// Sends `message` to `path` at `peer` and decodes the answer.
+    /// Sends `message` to `path` at `peer` and decodes the response, all within `limit`.
     ///
     /// # Errors
     ///
@@ -147,8 +147,8 @@
     ) -> Result<Bytes, CallError> {
         let fail = |step, cause: String| CallError { step, peer, cause };
         let send_failed = |err: cyper::Error| fail(CallStep::Send, error_chain(&err));
-        self.count(path, 1, body.len());
-        let signature = self.keys.sign(PURPOSE, &[path.as_bytes(), &body]);
+        self.record_traffic(path, 1, body.len());
+        let signature = self.keys.sign(SIGNATURE_PURPOSE, &[path.as_bytes(), &body]);
         let req = self
             .http
             .post(format!("http://{peer}{path}"))
@@ -161,7 +161,7 @@
             return Err(fail(CallStep::Decode, format!("answer larger than {MAX_ANSWER} bytes")));
         }
         let bytes = res.bytes().await.map_err(send_failed)?;
-        self.count(path, 0, bytes.len());
+        self.record_traffic(path, 0, bytes.len());
         if status != StatusCode::OK {
             let text = String::from_utf8_lossy(&bytes).into_owned();
             return Err(fail(CallStep::Refused, format!("{status}: {text}")));
@@ -170,7 +170,7 @@
     }
 }
 
-/// Joins an error with its causes.
+/// Formats an error together with its sources.
 fn error_chain(err: &dyn std::error::Error) -> String {
     let mut text = err.to_string();
     let mut cause = err.source();
@@ -182,12 +182,12 @@
     text
 }
 
-/// Checks the signature of a message from another box and decodes it.
+/// Verifies the signature of a message from another box and decodes it.
 ///
 /// # Errors
 ///
-/// Returns the refusal to answer with: 401 for a wrong signature, 400 for a
-/// body that does not decode.
+/// Returns the response to send: 401 for an invalid signature, 400 for a body
+/// that does not decode.
 pub fn open_message<Q: DeserializeOwned>(
     keys: &KeyRing,
     path: &str,
@@ -195,21 +195,25 @@
     body: &[u8],
 ) -> Result<Q, Box<Response<Body>>> {
     let signature = headers.get(SIGNATURE_HEADER).and_then(|value| value.to_str().ok());
-    let signed = signature.is_some_and(|s| keys.verify(PURPOSE, &[path.as_bytes(), body], s));
+    let signed =
+        signature.is_some_and(|s| keys.verify(SIGNATURE_PURPOSE, &[path.as_bytes(), body], s));
     if !signed {
-        return Err(Box::new(plain(StatusCode::UNAUTHORIZED, "unknown or missing box signature")));
+        return Err(Box::new(text_response(
+            StatusCode::UNAUTHORIZED,
+            "unknown or missing box signature",
+        )));
     }
     rmp_serde::from_slice(body).map_err(|err| {
         let text = format!("{path}: message does not decode: {err}");
-        Box::new(plain(StatusCode::BAD_REQUEST, &text))
+        Box::new(text_response(StatusCode::BAD_REQUEST, &text))
     })
 }
 
-/// Answers another box with an `rmp-serde` body.
+/// Creates a MessagePack response to another box.
 pub fn rmp_response<A: Serialize>(answer: &A) -> Response<Body> {
     match rmp_serde::to_vec_named(answer) {
         Ok(bytes) => message_response(Bytes::from(bytes)),
-        Err(err) => plain(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
+        Err(err) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()),
     }
 }
 
@@ -220,7 +224,7 @@
     res
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<Body> {
+fn text_response(status: StatusCode, text: &str) -> Response<Body> {
     let mut res = Response::new(Body::from(text.to_owned()));
     *res.status_mut() = status;
     res
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! A bounded HTTP/1.1 server on the current thread.
+//! HTTP/1.1 server with resource limits that runs on the current thread.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -17,24 +17,24 @@
 
 use socket2::{SockRef, TcpKeepalive};
 
-use crate::stream::{Stream, USUAL};
+use crate::stream::{DEFAULT_IO_BYTES, Stream};
 use crate::{Body, Stop};
 
-/// Answers one request; the address is the caller's.
+/// Handles one request; the address is that of the caller.
 pub type Handler =
     Rc<dyn Fn(Request<Incoming>, SocketAddr) -> LocalBoxFuture<'static, Response<Body>>>;
 
-/// Bounds that hold for each listener.
+/// Resource limits of one listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections open at once; more are closed on arrival.
+    /// Maximum number of open connections; further ones are closed when accepted.
     pub connections: usize,
-    /// Time in which a whole request head must arrive.
+    /// Time within which the complete request head must arrive.
     pub header_timeout: Duration,
-    /// Bytes that a connection may buffer.
+    /// Size limit of the HTTP library's buffer of a connection, in bytes.
     pub buffer: usize,
-    /// Bytes that one read or write usually moves; each connection holds twice as many while it
-    /// rests.
+    /// Typical size of one read or write, in bytes. An idle connection holds twice this much in
+    /// buffers.
     pub usual: usize,
 }
 
@@ -44,43 +44,45 @@
             connections: 4096,
             header_timeout: Duration::from_secs(10),
             buffer: 64 * 1024,
-            usual: USUAL,
+            usual: DEFAULT_IO_BYTES,
         }
     }
 }
 
-/// How long a peer may leave sent bytes unacknowledged before its connection counts as broken.
-/// Twice the time after which a cut of a network link is usually noticed by heartbeats.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(5);
+/// How long sent bytes may stay unacknowledged before the connection is considered broken: twice
+/// the time in which heartbeats usually detect a network partition.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a connection may rest before the kernel asks the peer whether it is still there: a
-/// stream of events rests for tens of ms at most, and idle connections cost little by it.
-const PROBE_AFTER: Duration = Duration::from_secs(2);
+/// Idle time of a connection before the kernel sends the first keepalive probe. An event stream is
+/// idle for tens of milliseconds at most, so it is rarely probed, and probes of idle connections
+/// cost little.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 
-/// Time between two such questions. The connection counts as broken once the peer has left them
-/// unanswered for [`UNACKNOWLEDGED_LIMIT`].
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between keepalive probes. The connection is considered broken once probes have been
+/// unanswered for [`UNACKNOWLEDGED_TIMEOUT`].
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the accept loop rests after a failure such as too many open files.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay before the accept loop retries after an error such as too many open files. Also the
+/// polling interval for open connections at shutdown.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Returns the value of a key in a request's query, as it stands there.
+/// Returns the value of a key in the query string of a URI, without percent-decoding.
 pub fn query_value<'a>(uri: &'a Uri, key: &str) -> Option<&'a str> {
     let mut pairs = uri.query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(name, _)| *name == key).map(|(_, value)| value)
 }
 
-/// Ends a connection whose peer acknowledges nothing for a while, such as one behind a cut, also
-/// where this side only waits and sends nothing itself.
+/// Sets TCP timeouts that close a connection whose peer stops acknowledging, for example because of
+/// a network partition, even if this side sends no data.
 ///
 /// # Errors
 ///
-/// Returns the system's error if the socket does not take an option.
-pub(crate) fn bound_silence(stream: &TcpStream) -> io::Result<()> {
+/// Returns the system's error if a socket option cannot be set.
+pub(crate) fn set_silence_timeouts(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_PERIOD);
-    socket.set_tcp_keepalive(&probes)
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive)
 }
 
 /// Binds a listener.
@@ -94,9 +96,8 @@
         .map_err(|err| io::Error::new(err.kind(), format!("bind {addr}: {err}")))
 }
 
-/// Serves connections until `stop` is set; requests in progress then finish.
-///
-/// Returns once every connection has closed.
+/// Serves connections until `stop` is set, then lets requests in progress finish and returns once
+/// every connection is closed.
 pub async fn serve(listener: TcpListener, limits: ServerLimits, handler: Handler, stop: Stop) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
@@ -107,7 +108,7 @@
         match accepted {
             Ok((stream, peer)) if open.get() < limits.connections => {
                 open.set(open.get() + 1);
-                let task = connection(stream, peer, limits, handler.clone(), stop.clone());
+                let task = serve_connection(stream, peer, limits, handler.clone(), stop.clone());
                 let open = open.clone();
                 compio::runtime::spawn(async move {
                     task.await;
@@ -115,20 +116,24 @@
                 })
                 .detach();
             }
-            Ok((_, peer)) => log::warn!("connection from {peer} closed: too many open"),
+            Ok((_, peer)) => log::warn!(
+                "connection from {peer} closed: {} connections are open",
+                limits.connections
+            ),
             Err(err) => {
                 log::warn!("accept failed: {err}");
-                compio::time::sleep(ACCEPT_RETRY).await;
+                compio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
     drop(listener);
     while open.get() > 0 {
-        compio::time::sleep(ACCEPT_RETRY).await;
+        compio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-async fn connection(
+/// Serves one connection until it ends or `stop` is set and its request has finished.
+async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
     limits: ServerLimits,
@@ -136,10 +141,10 @@
     stop: Stop,
 ) {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!("set_nodelay for {peer}: {err}");
+        log::debug!("set TCP_NODELAY for {peer}: {err}");
     }
-    if let Err(err) = bound_silence(&stream) {
-        log::debug!("set_tcp_user_timeout for {peer}: {err}");
+    if let Err(err) = set_silence_timeouts(&stream) {
+        log::debug!("set TCP timeouts for {peer}: {err}");
     }
     let service = service_fn(move |req| {
         let answer = handler(req, peer);
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,8 +1,8 @@
-//! A connection as the HTTP library reads and writes it.
+//! Adapter between compio's TCP streams and hyper's I/O traits.
 //!
-//! The runtime completes writes later than the HTTP library hands them over, so
-//! what was handed over waits in a buffer between the two. Its bound is what
-//! makes a peer that reads slowly hold its writer up.
+//! The runtime completes writes asynchronously, after the HTTP library has handed
+//! them over, so a buffer sits between the two. Its size limit is what applies
+//! backpressure from a slow reader to the writer.
 
 use std::io;
 use std::pin::Pin;
@@ -13,20 +13,20 @@
 use futures_util::{AsyncBufRead, AsyncWrite};
 use hyper::rt::{Read, ReadBufCursor, Write};
 
-/// Bytes that one read or write usually moves; more makes no measurable difference.
-pub(crate) const USUAL: usize = 8 * 1024;
-/// Bytes that wait for the socket at most, for each connection: with a window of this size a
-/// round trip of 5 ms carries 100 Mbit/s. The adapter's own bound is 64 MiB, with which 120 peers
-/// that read nothing took 249 MB.
-const MOST: usize = 64 * 1024;
+/// Default size of one read or write, in bytes. Larger sizes made no measurable difference.
+pub(crate) const DEFAULT_IO_BYTES: usize = 8 * 1024;
+/// Most bytes buffered for the socket, per connection. A window of this size carries 100 Mbit/s at
+/// a round-trip time of 5 ms. With the default limit of compio's adapter, 64 MiB, 120 peers that
+/// did not read used 249 MB.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A connection whose buffers are bounded.
+/// A TCP connection with bounded buffers.
 pub(crate) struct Stream(Pin<Box<AsyncStream<TcpStream>>>);
 
 impl Stream {
-    /// Wraps a connected socket, one read or write on which usually moves `usual` bytes.
-    pub(crate) fn new(socket: TcpStream, usual: usize) -> Self {
-        Self(Box::pin(AsyncStream::with_limits(usual, MOST, socket)))
+    /// Wraps a connected socket; `io_bytes` is the typical size of one read or write, in bytes.
+    pub(crate) fn new(socket: TcpStream, io_bytes: usize) -> Self {
+        Self(Box::pin(AsyncStream::with_limits(io_bytes, MAX_BUFFER_BYTES, socket)))
     }
 }
 
@@ -36,10 +36,10 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let arrived = ready!(self.0.as_mut().poll_fill_buf(cx))?;
-        let taken = arrived.len().min(buf.remaining());
-        buf.put_slice(&arrived[..taken]);
-        self.0.as_mut().consume(taken);
+        let received = ready!(self.0.as_mut().poll_fill_buf(cx))?;
+        let len = received.len().min(buf.remaining());
+        buf.put_slice(&received[..len]);
+        self.0.as_mut().consume(len);
         Poll::Ready(Ok(()))
     }
 }
@@ -54,7 +54,7 @@
     }
 
     fn is_write_vectored(&self) -> bool {
-        // The HTTP library then keeps whole bodies as they are instead of copying them.
+        // Lets hyper queue whole body buffers instead of copying them into one.
         true
     }
 
--- a/crates/net/tests/keys.rs
+++ b/crates/net/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys shared by the boxes: rolled without a gap, and nothing forged is taken.
+//! Key rotation without downtime, and rejection of invalid signatures and keys.
 
 use hatchpitch_net::keys::{from_hex, to_hex};
 use hatchpitch_net::{KeyRing, SigningKey};
@@ -10,8 +10,8 @@
 }
 
 #[test]
-fn a_key_is_rolled_without_a_gap() {
-    // Each step is rolled out box by box, so neighbours must understand each other.
+fn boxes_verify_each_other_during_a_key_rotation() {
+    // Each step is rolled out box by box, so boxes one step apart must accept each other's messages.
     let steps = [ring(&["old"]), ring(&["old", "new"]), ring(&["new", "old"]), ring(&["new"])];
     for pair in steps.windows(2) {
         for (a, b) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
@@ -23,20 +23,21 @@
 }
 
 #[test]
-fn other_parts_purposes_and_noise_are_not_taken() {
+fn signatures_of_other_parts_or_purposes_and_random_text_are_rejected() {
     let keys = ring(&["k"]);
     let signature = keys.sign("p", &[b"ab", b"c"]);
     assert!(keys.verify("p", &[b"ab", b"c"], &signature));
     assert!(!keys.verify("p", &[b"a", b"bc"], &signature));
     assert!(!keys.verify("q", &[b"ab", b"c"], &signature));
     arbtest::arbtest(|u| {
-        let noise: String = u.arbitrary()?;
-        assert!(!keys.verify("p", &[b"ab", b"c"], &noise));
-        assert!(!keys.verify("p", &[b"ab", b"c"], &format!("k.{noise}")));
+        let random_text: String = u.arbitrary()?;
+        assert!(!keys.verify("p", &[b"ab", b"c"], &random_text));
+        assert!(!keys.verify("p", &[b"ab", b"c"], &format!("k.{random_text}")));
         let bytes: Vec<u8> = u.arbitrary()?;
         assert_eq!(from_hex(&to_hex(&bytes)), Some(bytes));
-        let digits = noise.len().is_multiple_of(2) && noise.bytes().all(|b| b.is_ascii_hexdigit());
-        assert_eq!(from_hex(&noise).is_some(), digits);
+        let digits = random_text.len().is_multiple_of(2)
+            && random_text.bytes().all(|b| b.is_ascii_hexdigit());
+        assert_eq!(from_hex(&random_text).is_some(), digits);
         Ok(())
     })
     .seed(0x5eed_0000_1000)
@@ -44,16 +45,16 @@
 }
 
 #[test]
-fn unfit_keys_are_refused() {
+fn invalid_keys_are_rejected() {
     assert!(SigningKey::new("k".into(), b"short".to_vec()).is_none());
     assert!(SigningKey::new("a.b".into(), vec![1; 32]).is_none());
     assert!(KeyRing::new(Vec::new()).is_none());
-    let twice = |_| SigningKey::new("k".into(), vec![1; 32]).unwrap();
-    assert!(KeyRing::new((0..2).map(twice).collect()).is_none());
+    let duplicate = |_| SigningKey::new("k".into(), vec![1; 32]).unwrap();
+    assert!(KeyRing::new((0..2).map(duplicate).collect()).is_none());
 }
 
 #[test]
-fn signs_are_no_hexadecimal_digits() {
+fn from_hex_rejects_signs() {
     assert_eq!(from_hex("+f"), None);
     assert_eq!(from_hex("0f"), Some(vec![15]));
 }
--- a/crates/net/tests/steps.rs
+++ b/crates/net/tests/steps.rs
@@ -1,4 +1,4 @@
-//! The edge of "not run": what a failed call says, against what the peer received.
+//! A failed call is reported as not run only if the peer received no byte of it.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener};
@@ -11,18 +11,18 @@
 const LIMIT: Duration = Duration::from_millis(300);
 const BODY: &str = "a body that is sent at once";
 
-/// What a peer does with its one connection, after which it closes it.
+/// Behaviour of a peer on its only connection before it closes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Peer {
-    CloseAtOnce,
+    CloseImmediately,
     ReadOneByte,
     ReadAll,
-    ReadAllAndBeginHead,
-    ReadAllAndBeginBody,
+    ReadAllAndSendPartialHead,
+    ReadAllAndSendPartialBody,
     StaySilent,
 }
 
-/// Runs a peer and returns how many bytes it received.
+/// Starts a peer in a thread that returns how many bytes it received.
 fn start(peer: Peer) -> (SocketAddr, JoinHandle<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -31,7 +31,7 @@
         let mut buf = [0; 4096];
         let mut received = 0;
         match peer {
-            Peer::CloseAtOnce => {}
+            Peer::CloseImmediately => {}
             Peer::ReadOneByte => received += stream.read(&mut buf[..1]).unwrap(),
             _ => {
                 while !String::from_utf8_lossy(&buf[..received]).ends_with(BODY) {
@@ -40,8 +40,8 @@
             }
         }
         match peer {
-            Peer::ReadAllAndBeginHead => stream.write_all(b"HTTP/1.1 200 O").unwrap(),
-            Peer::ReadAllAndBeginBody => {
+            Peer::ReadAllAndSendPartialHead => stream.write_all(b"HTTP/1.1 200 O").unwrap(),
+            Peer::ReadAllAndSendPartialBody => {
                 stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf").unwrap();
             }
             Peer::StaySilent => std::thread::sleep(LIMIT * 2),
@@ -72,12 +72,14 @@
 #[compio::test]
 async fn not_run_is_never_said_once_a_byte_arrived() {
     for _ in 0..50 {
-        let (addr, peer) = start(Peer::CloseAtOnce);
+        let (addr, peer) = start(Peer::CloseImmediately);
         let err = call(addr).await.unwrap_err();
         let received = peer.join().unwrap();
         assert!(!err.is_not_run() || received == 0, "{err}: {received} bytes arrived");
     }
-    for peer in [Peer::ReadOneByte, Peer::ReadAll, Peer::ReadAllAndBeginHead, Peer::StaySilent] {
+    for peer in
+        [Peer::ReadOneByte, Peer::ReadAll, Peer::ReadAllAndSendPartialHead, Peer::StaySilent]
+    {
         let (addr, thread) = start(peer);
         let err = call(addr).await.unwrap_err();
         assert_eq!(err.step, SendStep::AwaitHead, "{peer:?}: {err}");
@@ -88,7 +90,7 @@
 
 #[compio::test]
 async fn a_body_that_breaks_off_is_not_an_answer() {
-    let (addr, peer) = start(Peer::ReadAllAndBeginBody);
+    let (addr, peer) = start(Peer::ReadAllAndSendPartialBody);
     let res = call(addr).await.unwrap();
     assert!(read_body(res.into_body(), 1_000, LIMIT).await.is_err());
     peer.join().unwrap();
