--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon of a control box. Parses settings, starts logs, runs the library.
+//! Daemon of a control box: parses settings, sets up logging and runs the library.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 use hatchpitch::settings::control::RawControlSettings;
 use hatchpitch::settings::{ControlSettings, load_file};
 
-/// Keeps the state that must survive: configuration and claims.
+/// Stores the durable state of the fleet: configuration and claims.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon of an entry box. Parses settings, starts logs, runs the library.
+//! Daemon of an entry box: parses settings, sets up logging and runs the library.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 use hatchpitch::settings::entry::RawEntrySettings;
 use hatchpitch::settings::{EntrySettings, load_file};
 
-/// Takes callers' requests in and sees each to its answer.
+/// Accepts requests from callers and relays the answers.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
