--- a/crates/hatchpitch/src/control/daemon.rs
+++ b/crates/hatchpitch/src/control/daemon.rs
@@ -16,7 +16,7 @@
 use crate::commands::task as commands;
 use crate::config::feed;
 use crate::essential::spawn_essential;
-use crate::listener::{self, ExtraListener, bound_at};
+use crate::listener::{self, ExtraListener, bind_addr};
 use crate::logging::unix_ms;
 use crate::registry::peers;
 use crate::replication::bootstrap::BootstrapOutcome;
@@ -65,13 +65,13 @@
     extra: impl FnOnce(&Rc<ControlCx>) -> Vec<ExtraListener>,
     reloaded: impl Fn(&Rc<ControlCx>) + 'static,
 ) -> anyhow::Result<()> {
-    signals::hold_hangups().await;
+    signals::prevent_sighup_termination().await;
     let disk = settings.data_folder.as_deref().map(open_disk).transpose()?;
     let id = disk.as_ref().map_or(Ok(NO_IDENTITY), bootstrap::identity)?;
     let (own, listen_ip) = (&settings.own, settings.listen_ip);
-    let operators = bind(bound_at(own.operators_addr, listen_ip)).await;
+    let operators = bind(bind_addr(own.operators_addr, listen_ip)).await;
     let operators = operators.context("operators' listener")?;
-    let boxes = bind(bound_at(own.boxes_addr, listen_ip)).await.context("boxes' listener")?;
+    let boxes = bind(bind_addr(own.boxes_addr, listen_ip)).await.context("boxes' listener")?;
     let client = BoxClient::new(settings.box_keys.clone())?;
     let cx = ControlCx::new(settings, id, client);
     let own = &cx.settings.own;
@@ -85,7 +85,7 @@
     listeners.extend(listener::open(extra(&cx), listen_ip, &stop).await?);
     spawn_tasks(&cx, &stop);
     let reload_cx = cx.clone();
-    signals::on_hangup(move || reloaded(&reload_cx), stop.clone());
+    signals::on_sighup(move || reloaded(&reload_cx), stop.clone());
     let work = match disk {
         Some(disk) => run_log(&cx, disk, stop.clone()).boxed_local(),
         None => watch_core(&cx, stop.clone()).boxed_local(),
@@ -99,7 +99,7 @@
         }
     }
     drop(stop_handle);
-    listener::ended(listeners).await;
+    listener::wait_closed(listeners).await;
     Ok(())
 }
 
--- a/crates/hatchpitch/src/entry/daemon.rs
+++ b/crates/hatchpitch/src/entry/daemon.rs
@@ -16,7 +16,7 @@
 use crate::essential::spawn_essential;
 use crate::grants::task as grants;
 use crate::ids::ConfigNumber;
-use crate::listener::{self, ExtraListener, bound_at};
+use crate::listener::{self, ExtraListener, bind_addr};
 use crate::logging::unix_ms;
 use crate::membership::messages::{MemberRecord, MemberStatus, Subject};
 use crate::membership::state::{Membership, MembershipConfig};
@@ -53,11 +53,11 @@
     extra: impl FnOnce(&Rc<EntryCx>) -> Vec<ExtraListener>,
     reloaded: impl Fn(&Rc<EntryCx>) + 'static,
 ) -> anyhow::Result<()> {
-    signals::hold_hangups().await;
+    signals::prevent_sighup_termination().await;
     let listen_ip = settings.listen_ip;
-    let callers = bind(bound_at(settings.callers_addr, listen_ip)).await;
+    let callers = bind(bind_addr(settings.callers_addr, listen_ip)).await;
     let callers = callers.context("callers' listener")?;
-    let boxes = bind(bound_at(settings.boxes_addr, listen_ip)).await.context("boxes' listener")?;
+    let boxes = bind(bind_addr(settings.boxes_addr, listen_ip)).await.context("boxes' listener")?;
     let client = BoxClient::new(settings.box_keys.clone())?;
     let membership = Rc::new(RefCell::new(new_membership(&settings)));
     let cx = EntryCx::new(settings, membership, client);
@@ -71,7 +71,7 @@
     listeners.extend(listener::open(extra(&cx), listen_ip, &stop).await?);
     spawn_tasks(&cx, &stop);
     let reload_cx = cx.clone();
-    signals::on_hangup(move || reloaded(&reload_cx), stop.clone());
+    signals::on_sighup(move || reloaded(&reload_cx), stop.clone());
 
     signals::stop_requested().await?;
     begin_drain(&cx);
@@ -83,7 +83,7 @@
         _ = cut_short => log::warn!("cut short with {} requests in progress", cx.active()),
     }
     drop(stop_handle);
-    listener::ended(listeners).await;
+    listener::wait_closed(listeners).await;
     Ok(())
 }
 
--- a/crates/hatchpitch/src/listener.rs
+++ b/crates/hatchpitch/src/listener.rs
@@ -22,7 +22,7 @@
 
 /// Returns the address to bind for a listener that is advertised as `addr`: `listen_ip`, if set,
 /// replaces the IP address.
-pub fn bound_at(addr: SocketAddr, listen_ip: Option<IpAddr>) -> SocketAddr {
+pub fn bind_addr(addr: SocketAddr, listen_ip: Option<IpAddr>) -> SocketAddr {
     SocketAddr::new(listen_ip.unwrap_or(addr.ip()), addr.port())
 }
 
@@ -38,14 +38,14 @@
 ) -> anyhow::Result<Vec<JoinHandle<()>>> {
     let mut listeners = Vec::with_capacity(extra.len());
     for ExtraListener { addr, limits, handler } in extra {
-        let listener = bind(bound_at(addr, listen_ip)).await.context("further listener")?;
+        let listener = bind(bind_addr(addr, listen_ip)).await.context("further listener")?;
         listeners.push(compio::runtime::spawn(serve(listener, limits, handler, stop.clone())));
     }
     Ok(listeners)
 }
 
 /// Waits for listeners that were asked to stop, for at most `SHUTDOWN_TIMEOUT` each.
-pub async fn ended(listeners: Vec<JoinHandle<()>>) {
+pub async fn wait_closed(listeners: Vec<JoinHandle<()>>) {
     for listener in listeners {
         let _ = compio::time::timeout(SHUTDOWN_TIMEOUT, listener).await;
     }
--- a/crates/hatchpitch/src/signals.rs
+++ b/crates/hatchpitch/src/signals.rs
@@ -21,7 +21,7 @@
 
 /// Prevents SIGHUP from terminating the process from now on. Its default action would do so while
 /// no listener is registered, such as before the first one and between two of them.
-pub async fn hold_hangups() {
+pub async fn prevent_sighup_termination() {
     match listen().await {
         // Dropping the last listener would restore the default action of the signal.
         Ok(listener) => std::mem::forget(listener),
@@ -31,7 +31,7 @@
 
 /// Calls `reload` after each SIGHUP until `stop` is set. Signals in quick succession may be merged
 /// into one call, which starts after the last of them.
-pub fn on_hangup(reload: impl Fn() + 'static, stop: Stop) {
+pub fn on_sighup(reload: impl Fn() + 'static, stop: Stop) {
     compio::runtime::spawn(async move {
         let mut listener = listen().await;
         while !stop.is_set() {
--- a/crates/hatchpitch/tests/parsers.rs
+++ b/crates/hatchpitch/tests/parsers.rs
@@ -5,7 +5,7 @@
 
 use hatchpitch::config::{Fleet, load_fleet};
 use hatchpitch::engine::EngineEvent;
-use hatchpitch::listener::bound_at;
+use hatchpitch::listener::bind_addr;
 use hatchpitch::security::ResponseToken;
 use hatchpitch::settings::control::RawControlSettings;
 use hatchpitch::settings::diagnostic::load_toml;
@@ -116,10 +116,10 @@
     let text = with_key(&std::fs::read_to_string(path).unwrap());
     let load = |text: &str| load_toml::<RawEntrySettings, EntrySettings>("entry.toml", text);
     let plain = load(&text).unwrap();
-    assert_eq!(bound_at(plain.boxes_addr, plain.listen_ip), plain.boxes_addr);
+    assert_eq!(bind_addr(plain.boxes_addr, plain.listen_ip), plain.boxes_addr);
     let forwarded = load(&format!("listen_ip = \"127.9.9.9\"\n{text}")).unwrap();
     assert_eq!(forwarded.boxes_addr, plain.boxes_addr);
-    let bound = bound_at(forwarded.boxes_addr, forwarded.listen_ip);
+    let bound = bind_addr(forwarded.boxes_addr, forwarded.listen_ip);
     assert_eq!(bound.to_string(), format!("127.9.9.9:{}", plain.boxes_addr.port()));
     let problems = load(&format!("listen_ip = \"here\"\n{text}")).unwrap_err().to_string();
     assert!(problems.contains("listen_ip"), "{problems}");
--- a/crates/hatchpitch/tests/signals.rs
+++ b/crates/hatchpitch/tests/signals.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hatchpitch::signals::{hold_hangups, on_hangup};
+use hatchpitch::signals::{on_sighup, prevent_sighup_termination};
 use hatchpitch_net::stop_pair;
 
 /// Polling interval.
@@ -28,8 +28,8 @@
                 raise_sighup();
             }
         };
-        on_hangup(reload, stop);
-        hold_hangups().await;
+        on_sighup(reload, stop);
+        prevent_sighup_termination().await;
         compio::time::sleep(INTERVAL).await;
         raise_sighup();
         while reloads.get() < 2 {
@@ -42,7 +42,7 @@
 fn sighup_without_a_listener_does_not_terminate_the_process() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        hold_hangups().await;
+        prevent_sighup_termination().await;
         raise_sighup();
         compio::time::sleep(INTERVAL).await;
     });
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -35,7 +35,7 @@
     pub buffer: usize,
     /// Typical size of one read or write, in bytes. An idle connection holds twice this much in
     /// buffers.
-    pub usual: usize,
+    pub io_bytes: usize,
 }
 
 impl Default for ServerLimits {
@@ -44,7 +44,7 @@
             connections: 4096,
             header_timeout: Duration::from_secs(10),
             buffer: 64 * 1024,
-            usual: DEFAULT_IO_BYTES,
+            io_bytes: DEFAULT_IO_BYTES,
         }
     }
 }
@@ -154,7 +154,7 @@
         .timer(CompioTimer)
         .header_read_timeout(limits.header_timeout)
         .max_buf_size(limits.buffer)
-        .serve_connection(Stream::new(stream, limits.usual), service);
+        .serve_connection(Stream::new(stream, limits.io_bytes), service);
     let mut conn = Box::pin(conn);
     let ended = match select(conn.as_mut(), Box::pin(stop.wait())).await {
         Either::Left((ended, _)) => ended,
