--- a/crates/hatchpitch/tests/upstream_signals.rs
+++ b/crates/hatchpitch/tests/upstream_signals.rs
@@ -306,19 +306,19 @@
         }],
         ..FollowAnswer::default()
     };
-    roster.take(source, Detail::Whole, announced(1, 1), now).unwrap();
+    roster.apply_answer(source, Detail::Whole, announced(1, 1), now).unwrap();
     assert_eq!(roster.serving().count(), 1);
     let before = roster.version();
     roster.said_leaving("i-1");
     assert!(roster.version() > before);
     assert_eq!((roster.serving().count(), roster.leaving().count()), (0, 1));
     // It keeps announcing itself, and its record lapses and returns.
-    roster.take(source, Detail::Whole, announced(9, 2), now).unwrap();
+    roster.apply_answer(source, Detail::Whole, announced(9, 2), now).unwrap();
     assert_eq!(roster.serving().count(), 0);
     let lapsed =
         FollowAnswer { lapsed: vec!["i-1".to_owned()], records: Vec::new(), ..announced(9, 3) };
-    roster.take(source, Detail::Whole, lapsed, now).unwrap();
-    roster.take(source, Detail::Whole, announced(10, 4), now).unwrap();
+    roster.apply_answer(source, Detail::Whole, lapsed, now).unwrap();
+    roster.apply_answer(source, Detail::Whole, announced(10, 4), now).unwrap();
     assert_eq!((roster.serving().count(), roster.leaving().count()), (0, 1));
     verify_roster(&roster).unwrap();
 }
