--- a/crates/hatchpitch/src/listener.rs
+++ b/crates/hatchpitch/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners that a daemon serves beside those of the product's own interface.
+//! Additional listeners that a daemon serves besides those for callers, operators and boxes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -7,29 +7,30 @@
 use compio::runtime::JoinHandle;
 use hatchpitch_net::{Handler, ServerLimits, Stop, bind, serve};
 
-/// Time for a listener to end once the process stops: its requests were waited for before.
-const END_LIMIT: Duration = Duration::from_secs(1);
+/// How long to wait for a listener to close at shutdown; its requests have been drained before.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A listener and what answers its requests.
+/// An additional listener and its request handler.
 pub struct ExtraListener {
-    /// Where it listens.
+    /// Address to listen on.
     pub addr: SocketAddr,
-    /// Its bounds.
+    /// Limits on its connections.
     pub limits: ServerLimits,
-    /// Answers one request.
+    /// Handles one request.
     pub handler: Handler,
 }
 
-/// Returns where a listener is bound whose address others know as `addr`.
-pub fn bound_at(addr: SocketAddr, listen_ip: Option<IpAddr>) -> SocketAddr {
+/// Returns the address to bind for a listener that is advertised as `addr`: `listen_ip`, if set,
+/// replaces the IP address.
+pub fn bind_addr(addr: SocketAddr, listen_ip: Option<IpAddr>) -> SocketAddr {
     SocketAddr::new(listen_ip.unwrap_or(addr.ip()), addr.port())
 }
 
-/// Begins to serve further listeners.
+/// Binds additional listeners and starts serving them.
 ///
 /// # Errors
 ///
-/// Returns an error if one of them can't be opened.
+/// Returns an error if one of them cannot be bound.
 pub async fn open(
     extra: Vec<ExtraListener>,
     listen_ip: Option<IpAddr>,
@@ -37,15 +38,15 @@
 ) -> anyhow::Result<Vec<JoinHandle<()>>> {
     let mut listeners = Vec::with_capacity(extra.len());
     for ExtraListener { addr, limits, handler } in extra {
-        let listener = bind(bound_at(addr, listen_ip)).await.context("further listener")?;
+        let listener = bind(bind_addr(addr, listen_ip)).await.context("further listener")?;
         listeners.push(compio::runtime::spawn(serve(listener, limits, handler, stop.clone())));
     }
     Ok(listeners)
 }
 
-/// Waits until listeners have ended that were asked to stop, each for a moment at most.
-pub async fn ended(listeners: Vec<JoinHandle<()>>) {
+/// Waits for listeners that were asked to stop, for at most `SHUTDOWN_TIMEOUT` each.
+pub async fn wait_closed(listeners: Vec<JoinHandle<()>>) {
     for listener in listeners {
-        let _ = compio::time::timeout(END_LIMIT, listener).await;
+        let _ = compio::time::timeout(SHUTDOWN_TIMEOUT, listener).await;
     }
 }
