--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,154 +7,154 @@
 use clap_complete::Shell;
 
 const EXIT_CODES: &str = "Exit codes:
-  0  done
-  1  failed; what was asked for may or may not have happened
-  2  wrong arguments
-  3  a file has problems; nothing was changed
-  4  refused: the number is taken or stale; nothing was changed
-  5  accepted, but not in force everywhere within the time given";
+  0  success
+  1  failure; a requested change may or may not have been made
+  2  invalid arguments
+  3  a file is invalid; nothing was changed
+  4  refused: the configuration number is taken or stale; nothing was changed
+  5  accepted, but not in force at every box within the wait limit";
 
-/// Operates a hatchpitch fleet.
+/// Manages a hatchpitch fleet.
 #[derive(Debug, Parser)]
 #[command(name = "hatchpitch", version, about, after_help = EXIT_CODES)]
 pub struct Args {
-    /// Control boxes, as addresses for operators.
+    /// Operator addresses of the control boxes, separated by commas.
     #[arg(long, global = true, value_delimiter = ',', env = "HATCHPITCH_CONTROL")]
     pub control: Vec<SocketAddr>,
-    /// Any entry box; the others are learned from it.
+    /// Operator address of any entry box; the others are discovered through it.
     #[arg(long, global = true, env = "HATCHPITCH_ENTRY")]
     pub entry: Option<SocketAddr>,
-    /// Operator key.
+    /// Operator key, sent as a bearer token.
     #[arg(long, global = true, env = "HATCHPITCH_OPERATOR_KEY", hide_env_values = true)]
     pub key: Option<String>,
-    /// Shape of the output.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value = "text")]
     pub output: Output,
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Shape of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Output {
-    /// For people.
+    /// Human-readable text.
     Text,
     /// One JSON document.
     Json,
 }
 
-/// Commands.
+/// Subcommands of `hatchpitch`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check files without sending them.
+    /// Validate files without submitting them.
     Check {
-        /// What the files are.
+        /// Type of the files.
         #[arg(long, value_enum, default_value = "fleet")]
         kind: FileKind,
-        /// Files in TOML.
+        /// TOML files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Make a random key and print its digest for the fleet file.
+    /// Generate a random key and print it with its digest for the fleet file.
     Key,
     /// Show what a fleet file would change.
     Diff {
         /// Fleet file.
         file: PathBuf,
     },
-    /// Submit a fleet file. Sending the same file again is safe.
+    /// Submit a fleet file. Resubmitting the same file is safe.
     Apply {
         /// Fleet file.
         file: PathBuf,
-        /// Wait until it is in force at every box, at most so many seconds.
+        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is given).
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "10")]
         wait: Option<u64>,
     },
-    /// Print the configuration in force, or which content holds a number.
+    /// Print the configuration in force, or the content digest accepted under a number.
     Get {
-        /// Number of an accepted file.
+        /// Configuration number of an accepted fleet file.
         #[arg(long)]
         number: Option<u64>,
     },
-    /// Show control boxes, entry boxes, upstreams, numbers in force, streams and waits.
+    /// Show control boxes, entry boxes, runners, configuration numbers, streams and queues.
     Status,
-    /// Have an entry box finish what it has and take no new work.
+    /// Close an entry box to new requests and let the running ones finish.
     Drain {
-        /// Name of the box.
+        /// Name of the entry box.
         name: String,
-        /// Wait until nothing runs there any more.
+        /// Wait until intake is closed and no stream is active.
         #[arg(long)]
         wait: bool,
     },
-    /// Begin or end the evacuation of a failure domain, or list the evacuated ones.
+    /// Begin or end the evacuation of a failure domain, or list the evacuated domains.
     #[command(subcommand)]
     Evacuation(Evacuation),
-    /// List the requests that are refused for crashing upstreams, or let one go.
+    /// List the requests that are refused for crashing upstreams, or release one.
     #[command(subcommand)]
     Quarantine(Quarantine),
-    /// Replace a control box that lost its disk; done means that a second loss costs nothing.
+    /// Replace a control box that lost its disk. On success, the loss of a second disk loses no data.
     Repair {
-        /// Name of the box, which has to run with an empty data folder.
+        /// Name of the control box, which must be running with an empty data folder.
         #[arg(long, value_name = "BOX")]
         replace: String,
     },
-    /// Show the spans of a trace from all boxes.
+    /// Show the spans of a trace from all entry boxes.
     Trace {
-        /// Trace id, 32 hexadecimal digits.
+        /// Trace ID, 32 hexadecimal digits.
         id: String,
     },
-    /// Tell what the logs of all boxes say of one request. Needs no fleet.
+    /// Reconstruct the history of one request from the logs of all boxes. Contacts no box.
     Explain {
-        /// The caller's id of the request.
+        /// Request ID that the caller uses.
         request: String,
-        /// Log files, one or more a box.
+        /// Log files, one or more per box.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Print a completion script.
+    /// Print a shell completion script.
     Completions {
-        /// Shell.
+        /// Shell to complete for.
         shell: Shell,
     },
 }
 
-/// What is done about evacuations. Each order is safe to give again.
+/// Subcommands of `hatchpitch evacuation`. Repeating one has no further effect.
 #[derive(Debug, Subcommand)]
 pub enum Evacuation {
-    /// Send nothing more to the upstreams of a failure domain.
+    /// Stop sending requests to the upstreams of a failure domain.
     Begin {
         /// Name of the failure domain.
         domain: String,
-        /// Wait until it is in force at every box, at most so many seconds.
+        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is given).
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "10")]
         wait: Option<u64>,
     },
-    /// Use them again.
+    /// Resume sending requests to the upstreams of a failure domain.
     End {
         /// Name of the failure domain.
         domain: String,
-        /// Wait until it is in force at every box, at most so many seconds.
+        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is given).
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "10")]
         wait: Option<u64>,
     },
-    /// Print the evacuated failure domains.
+    /// List the evacuated failure domains.
     List,
 }
 
-/// What is done about held requests. Each order is safe to give again.
+/// Subcommands of `hatchpitch quarantine`. Repeating one has no further effect.
 #[derive(Debug, Subcommand)]
 pub enum Quarantine {
-    /// Print the held requests.
+    /// List the quarantined requests.
     List,
-    /// Let a request run again.
+    /// Allow a quarantined request to run again.
     Release {
-        /// Name of its content, 32 hexadecimal digits.
+        /// Content digest of the request, 32 hexadecimal digits.
         content: String,
     },
 }
 
-/// Kinds of files.
+/// Types of files that `hatchpitch check` validates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum FileKind {
     /// A fleet file.
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' listeners of control and entry boxes.
+//! HTTP client for the operator listeners of control and entry boxes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,40 +12,41 @@
 
 use crate::args::Args;
 
-/// Time for one call; a box may be frozen.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// Time for a repair.
-const REPAIR_LIMIT: Duration = Duration::from_secs(90);
-/// Time for which a leader is looked for.
+/// Timeout of one call; an unresponsive box must not block the command.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a repair call.
+const REPAIR_TIMEOUT: Duration = Duration::from_secs(90);
+/// Time limit for reaching the control leader.
 const LEADER_BUDGET: Duration = Duration::from_secs(15);
-/// Time between looks at all entry boxes.
-const POLL: Duration = Duration::from_millis(50);
-const RETRY_REST: Duration = Duration::from_millis(200);
+/// Interval between polls of all entry boxes.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay before all control boxes are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A client with an operator's key.
-pub struct Remote {
+/// Client that authenticates with an operator key.
+pub struct Client {
     http: cyper::Client,
     key: String,
     control: Vec<SocketAddr>,
     entry: Option<SocketAddr>,
 }
 
-/// A box's answer.
-pub struct Reply {
-    /// HTTP status.
+/// Response of a box.
+pub struct Response {
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-impl Reply {
-    /// Decodes the body.
+impl Response {
+    /// Decodes the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> anyhow::Result<T> {
         serde_json::from_slice(&self.body).context("the answer does not decode")
     }
 
-    /// Decodes the body of a successful answer.
-    pub fn ok<T: DeserializeOwned>(&self) -> anyhow::Result<T> {
+    /// Decodes the body of a successful response as JSON.
+    pub fn success_json<T: DeserializeOwned>(&self) -> anyhow::Result<T> {
         if self.status.is_success() {
             return self.json();
         }
@@ -56,8 +57,8 @@
     }
 }
 
-impl Remote {
-    /// Creates a client from the arguments.
+impl Client {
+    /// Creates a client from the command-line arguments.
     pub fn new(args: &Args) -> anyhow::Result<Self> {
         let key = args.key.clone();
         let key = key.context("no operator key: give --key or HATCHPITCH_OPERATOR_KEY")?;
@@ -65,33 +66,33 @@
         Ok(Self { http, key, control: args.control.clone(), entry: args.entry })
     }
 
-    /// Calls one box.
+    /// Sends a request to one box.
     pub async fn call(
         &self,
         at: SocketAddr,
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> anyhow::Result<Reply> {
-        let limit = if path.starts_with("/ops/repair") { REPAIR_LIMIT } else { CALL_LIMIT };
+    ) -> anyhow::Result<Response> {
+        let timeout = if path.starts_with("/ops/repair") { REPAIR_TIMEOUT } else { CALL_TIMEOUT };
         let req = self.http.request(method, format!("http://{at}{path}"))?;
         let req = req.bearer_auth(&self.key)?.body(body);
-        let answer = async {
+        let exchange = async {
             let res = req.send().await?;
             let status = res.status();
-            anyhow::Ok(Reply { status, body: res.bytes().await?.to_vec() })
+            anyhow::Ok(Response { status, body: res.bytes().await?.to_vec() })
         };
-        let answer = compio::time::timeout(limit, answer).await;
-        answer.with_context(|| format!("box {at}: no answer"))?.with_context(|| format!("box {at}"))
+        let res = compio::time::timeout(timeout, exchange).await;
+        res.with_context(|| format!("box {at}: no answer"))?.with_context(|| format!("box {at}"))
     }
 
-    /// Calls the control leader. The call must be safe to send again.
+    /// Sends a request to the control leader. The request must be safe to repeat.
     pub async fn call_leader(
         &self,
         method: Method,
         path: &str,
         body: &[u8],
-    ) -> anyhow::Result<Reply> {
+    ) -> anyhow::Result<Response> {
         if self.control.is_empty() {
             bail!("no control box: give --control or HATCHPITCH_CONTROL");
         }
@@ -100,70 +101,72 @@
         while started.elapsed() < LEADER_BUDGET {
             for at in &self.control {
                 match self.call(*at, method.clone(), path, body.to_vec()).await {
-                    Ok(reply) if is_final(reply.status) => return Ok(reply),
-                    Ok(reply) => last = reply.ok::<()>().err(),
+                    Ok(res) if is_final(res.status) => return Ok(res),
+                    Ok(res) => last = res.success_json::<()>().err(),
                     Err(err) => last = Some(err),
                 }
             }
-            compio::time::sleep(RETRY_REST).await;
+            compio::time::sleep(RETRY_DELAY).await;
         }
         let last = last.map_or_else(String::new, |err| format!("{err:#}"));
         bail!("no control leader answered within {LEADER_BUDGET:?}: {last}")
     }
 
-    /// Returns the status of every control box, or why there is none.
+    /// Returns the status of every control box, or the error of the call.
     pub async fn control_status(&self) -> Vec<(SocketAddr, anyhow::Result<ControlStatus>)> {
         let mut rows = Vec::new();
         for at in &self.control {
-            let reply = self.call(*at, Method::GET, "/ops/status", Vec::new()).await;
-            rows.push((*at, reply.and_then(|reply| reply.ok())));
+            let res = self.call(*at, Method::GET, "/ops/status", Vec::new()).await;
+            rows.push((*at, res.and_then(|res| res.success_json())));
         }
         rows
     }
 
-    /// Returns the status of the entry box that was given.
+    /// Returns the status of the entry box at `at`.
     pub async fn entry_status(&self, at: SocketAddr) -> anyhow::Result<EntryStatus> {
-        self.call(at, Method::GET, "/ops/status", Vec::new()).await?.ok()
+        self.call(at, Method::GET, "/ops/status", Vec::new()).await?.success_json()
     }
 
-    /// Polls every entry box until something is so at all of them; returns the boxes where it is
-    /// not when the time is over.
-    pub async fn wait_everywhere(
+    /// Polls every entry box until `condition` holds at all of them, and returns the names of the
+    /// boxes where it does not hold when `limit` has passed.
+    pub async fn wait_for_entry_boxes(
         &self,
-        is_so: impl Fn(&EntryStatus) -> bool,
+        condition: impl Fn(&EntryStatus) -> bool,
         limit: Duration,
     ) -> Vec<String> {
         let started = Instant::now();
         loop {
-            let entries = self.entries().await.unwrap_or_default();
+            let boxes = self.entry_boxes().await.unwrap_or_default();
             let mut missing = Vec::new();
-            for (name, addr) in &entries {
-                if !self.entry_status(*addr).await.is_ok_and(|status| is_so(&status)) {
+            for (name, addr) in &boxes {
+                if !self.entry_status(*addr).await.is_ok_and(|status| condition(&status)) {
                     missing.push(name.clone());
                 }
             }
-            let known = !entries.is_empty();
-            if known && missing.is_empty() {
+            let any_known = !boxes.is_empty();
+            if any_known && missing.is_empty() {
                 return missing;
             }
             if started.elapsed() >= limit {
-                if !known {
+                if !any_known {
                     missing.push("(no entry box answered)".to_owned());
                 }
                 return missing;
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Returns the name and address of every entry box that the given one knows.
-    pub async fn entries(&self) -> anyhow::Result<Vec<(String, SocketAddr)>> {
+    /// Returns the name and address of every entry box known to the one given by `--entry`.
+    pub async fn entry_boxes(&self) -> anyhow::Result<Vec<(String, SocketAddr)>> {
         let entry = self.entry.context("no entry box: give --entry or HATCHPITCH_ENTRY")?;
         let status = self.entry_status(entry).await?;
         Ok(status.boxes.into_iter().map(|b| (b.name, b.addr)).collect())
     }
 }
 
+/// Returns whether a response ends the search for the leader: 421 and 503 are retried at other
+/// control boxes.
 fn is_final(status: StatusCode) -> bool {
     status != StatusCode::MISDIRECTED_REQUEST && status != StatusCode::SERVICE_UNAVAILABLE
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! Runs a command.
+//! Dispatches the command line to its command.
 
 mod apply;
 mod check;
@@ -20,23 +20,23 @@
 use serde::Serialize;
 
 use crate::args::{Args, Command, Output};
+use crate::client::Client;
 use crate::exit::Exit;
-use crate::output::show;
-use crate::remote::Remote;
+use crate::output::print;
 
-/// Runs the command that the arguments name.
+/// Runs the command given by the arguments.
 pub async fn run(args: Args) -> anyhow::Result<Exit> {
     match &args.command {
         Command::Check { kind, files } => Ok(check::run(args.output, *kind, files)),
-        Command::Key => Ok(key(args.output)),
+        Command::Key => Ok(generate_key(args.output)),
         Command::Diff { file } => apply::diff(&args, file).await,
         Command::Apply { file, wait } => apply::apply(&args, file, *wait).await,
-        Command::Get { number: None } => get(&args).await,
-        Command::Get { number: Some(number) } => get_number(&args, *number).await,
+        Command::Get { number: None } => get_config(&args).await,
+        Command::Get { number: Some(number) } => get_accepted(&args, *number).await,
         Command::Status => status::run(&args).await,
         Command::Drain { name, wait } => drain::run(&args, name, *wait).await,
-        Command::Evacuation(order) => evacuation::run(&args, order).await,
-        Command::Quarantine(order) => quarantine::run(&args, order).await,
+        Command::Evacuation(command) => evacuation::run(&args, command).await,
+        Command::Quarantine(command) => quarantine::run(&args, command).await,
         Command::Repair { replace } => repair(&args, replace).await,
         Command::Trace { id } => trace::run(&args, id).await,
         Command::Explain { request, logs } => explain::run(args.output, request, logs),
@@ -54,36 +54,39 @@
     sha256: String,
 }
 
-fn key(output: Output) -> Exit {
+fn generate_key(output: Output) -> Exit {
     let key = new_key();
     let new = NewKey { sha256: to_hex(&key_digest(&key)), key };
-    show(output, &new, || format!("key     {}\nsha256  {}", new.key, new.sha256));
+    print(output, &new, || format!("key     {}\nsha256  {}", new.key, new.sha256));
     Exit::Done
 }
 
-async fn get_number(args: &Args, number: u64) -> anyhow::Result<Exit> {
-    let remote = Remote::new(args)?;
+async fn get_accepted(args: &Args, number: u64) -> anyhow::Result<Exit> {
+    let client = Client::new(args)?;
     let path = format!("/ops/accepted?number={number}");
-    let held: AcceptedAnswer = remote.call_leader(Method::GET, &path, &[]).await?.ok()?;
-    show(args.output, &held, || format!("number {number} holds {} by {}", held.content, held.by));
+    let accepted: AcceptedAnswer =
+        client.call_leader(Method::GET, &path, &[]).await?.success_json()?;
+    print(args.output, &accepted, || {
+        format!("number {number} holds {} by {}", accepted.content, accepted.by)
+    });
     Ok(Exit::Done)
 }
 
 async fn repair(args: &Args, name: &str) -> anyhow::Result<Exit> {
-    let remote = Remote::new(args)?;
+    let client = Client::new(args)?;
     let path = format!("/ops/repair?replace={name}");
-    let repaired: Repaired = remote.call_leader(Method::POST, &path, &[]).await?.ok()?;
-    show(args.output, &repaired, || {
+    let repaired: Repaired = client.call_leader(Method::POST, &path, &[]).await?.success_json()?;
+    print(args.output, &repaired, || {
         format!("{name} replaced; these control boxes count: {}", repaired.voters.join(", "))
     });
     Ok(Exit::Done)
 }
 
-async fn get(args: &Args) -> anyhow::Result<Exit> {
-    let remote = Remote::new(args)?;
-    let reply = remote.call_leader(Method::GET, "/ops/config", &[]).await?;
-    let entities: Vec<Entity> = reply.ok()?;
-    show(args.output, &entities, || {
+async fn get_config(args: &Args) -> anyhow::Result<Exit> {
+    let client = Client::new(args)?;
+    let res = client.call_leader(Method::GET, "/ops/config", &[]).await?;
+    let entities: Vec<Entity> = res.success_json()?;
+    print(args.output, &entities, || {
         let lines = entities.iter().map(|e| format!("{e:?}"));
         lines.collect::<Vec<_>>().join("\n")
     });
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -10,9 +10,9 @@
 
 use crate::args::{FileKind, Output};
 use crate::exit::Exit;
-use crate::output::show;
+use crate::output::print;
 
-/// Checks each file and prints every problem.
+/// Validates each file and prints all problems.
 pub fn run(output: Output, kind: FileKind, files: &[PathBuf]) -> Exit {
     let mut problems: Vec<Problem> = Vec::new();
     for file in files {
@@ -25,7 +25,7 @@
             problems.extend(found);
         }
     }
-    show(output, &problems, || match problems.is_empty() {
+    print(output, &problems, || match problems.is_empty() {
         true => format!("{} file(s) checked, no problem", files.len()),
         false => Problems(problems.clone()).to_string(),
     });
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -7,29 +7,30 @@
 use http::Method;
 
 use crate::args::Args;
+use crate::client::Client;
 use crate::exit::Exit;
-use crate::output::show;
-use crate::remote::Remote;
+use crate::output::print;
 
-const POLL: Duration = Duration::from_millis(500);
+/// Interval between polls of the box.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Has a box finish what it has.
+/// Drains an entry box, and waits for it to finish if asked.
 pub async fn run(args: &Args, name: &str, wait: bool) -> anyhow::Result<Exit> {
-    let remote = Remote::new(args)?;
-    let entries = remote.entries().await?;
-    let found = entries.into_iter().find(|(known, _)| known == name);
+    let client = Client::new(args)?;
+    let boxes = client.entry_boxes().await?;
+    let found = boxes.into_iter().find(|(box_name, _)| box_name == name);
     let (_, addr) = found.with_context(|| format!("no entry box is named {name:?}"))?;
-    let reply = remote.call(addr, Method::POST, "/ops/drain", Vec::new()).await?;
-    let mut status: EntryStatus = reply.ok()?;
-    while wait && !(status.intake == "closed" && running(&status) == 0) {
-        eprintln!("{name}: {}, {} streams", status.intake, running(&status));
-        compio::time::sleep(POLL).await;
-        status = remote.entry_status(addr).await?;
+    let res = client.call(addr, Method::POST, "/ops/drain", Vec::new()).await?;
+    let mut status: EntryStatus = res.success_json()?;
+    while wait && !(status.intake == "closed" && stream_count(&status) == 0) {
+        eprintln!("{name}: intake {}, {} active streams", status.intake, stream_count(&status));
+        compio::time::sleep(POLL_INTERVAL).await;
+        status = client.entry_status(addr).await?;
     }
-    show(args.output, &status, || format!("{name}: {}", status.intake));
+    print(args.output, &status, || format!("{name}: {}", status.intake));
     Ok(Exit::Done)
 }
 
-fn running(status: &EntryStatus) -> u64 {
+fn stream_count(status: &EntryStatus) -> u64 {
     status.streams.iter().map(|(_, count)| count).sum()
 }
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -5,18 +5,20 @@
 use serde::Serialize;
 
 use crate::args::Args;
+use crate::client::Client;
 use crate::exit::Exit;
-use crate::output::{show, table};
-use crate::remote::Remote;
+use crate::output::{format_table, print};
 
+/// Status of all boxes, encoded as the JSON output.
 #[derive(Serialize)]
 struct FleetStatus {
-    control: Vec<Row<ControlStatus>>,
-    entry: Vec<Row<EntryStatus>>,
+    control: Vec<BoxRow<ControlStatus>>,
+    entry: Vec<BoxRow<EntryStatus>>,
 }
 
+/// Status of one box, or the error of the call to it.
 #[derive(Serialize)]
-struct Row<T> {
+struct BoxRow<T> {
     at: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     status: Option<T>,
@@ -24,7 +26,7 @@
     error: Option<String>,
 }
 
-impl<T> Row<T> {
+impl<T> BoxRow<T> {
     fn new(at: String, status: anyhow::Result<T>) -> Self {
         match status {
             Ok(status) => Self { at, status: Some(status), error: None },
@@ -33,47 +35,47 @@
     }
 }
 
-/// Asks every box and prints what it says.
+/// Queries every box and prints its status.
 pub async fn run(args: &Args) -> anyhow::Result<Exit> {
-    let remote = Remote::new(args)?;
-    let control = remote.control_status().await.into_iter();
-    let control = control.map(|(at, status)| Row::new(at.to_string(), status)).collect();
+    let client = Client::new(args)?;
+    let control = client.control_status().await.into_iter();
+    let control = control.map(|(at, status)| BoxRow::new(at.to_string(), status)).collect();
     let mut entry = Vec::new();
-    match remote.entries().await {
-        Ok(found) => {
-            for (name, addr) in found {
-                entry.push(Row::new(name, remote.entry_status(addr).await));
+    match client.entry_boxes().await {
+        Ok(boxes) => {
+            for (name, addr) in boxes {
+                entry.push(BoxRow::new(name, client.entry_status(addr).await));
             }
         }
-        Err(err) => entry.push(Row::new("entry boxes".to_owned(), Err(err))),
+        Err(err) => entry.push(BoxRow::new("entry boxes".to_owned(), Err(err))),
     }
     let fleet = FleetStatus { control, entry };
-    show(args.output, &fleet, || text(&fleet));
+    print(args.output, &fleet, || render(&fleet));
     Ok(Exit::Done)
 }
 
-/// Columns of the table of entry boxes.
-const ENTRY_HEAD: [&str; 8] =
+/// Header of the entry box table.
+const ENTRY_HEADER: [&str; 8] =
     ["ENTRY", "INTAKE", "NUMBER", "CONFIRMED", "ACTIVE", "STREAMS", "WAITING", "EVACUATED"];
 
-fn text(fleet: &FleetStatus) -> String {
+fn render(fleet: &FleetStatus) -> String {
     let control: Vec<Vec<String>> = fleet.control.iter().map(control_row).collect();
     let entry: Vec<Vec<String>> = fleet.entry.iter().map(entry_row).collect();
-    let seen = fleet.entry.iter().filter_map(|row| row.status.as_ref()).collect::<Vec<_>>();
-    let mut parts = vec![
-        table(&["CONTROL", "LEADS", "NUMBER", "CLAIMS", "EVACUATED"], &control),
-        table(&ENTRY_HEAD, &entry),
+    let statuses = fleet.entry.iter().filter_map(|row| row.status.as_ref()).collect::<Vec<_>>();
+    let mut tables = vec![
+        format_table(&["CONTROL", "LEADS", "NUMBER", "CLAIMS", "EVACUATED"], &control),
+        format_table(&ENTRY_HEADER, &entry),
     ];
-    if let Some(first) = seen.first() {
-        parts.push(table(
+    if let Some(first) = statuses.first() {
+        tables.push(format_table(
             &["POOL", "RUNNER", "OWNER", "TAKES WORK", "RUNNING", "LIMIT"],
-            &runner_rows(first, &seen),
+            &runner_rows(first, &statuses),
         ));
     }
-    parts.join("\n\n")
+    tables.join("\n\n")
 }
 
-fn control_row(row: &Row<ControlStatus>) -> Vec<String> {
+fn control_row(row: &BoxRow<ControlStatus>) -> Vec<String> {
     let Some(status) = &row.status else {
         return vec![row.at.clone(), row.error.clone().unwrap_or_default()];
     };
@@ -82,7 +84,7 @@
     vec![status.name.clone(), leads.to_owned(), number, claims, status.evacuated.join(",")]
 }
 
-fn entry_row(row: &Row<EntryStatus>) -> Vec<String> {
+fn entry_row(row: &BoxRow<EntryStatus>) -> Vec<String> {
     let Some(status) = &row.status else {
         return vec![row.at.clone(), row.error.clone().unwrap_or_default()];
     };
@@ -101,27 +103,29 @@
     ]
 }
 
-/// One row a runner: the box that decides for it, and what it let in.
-fn runner_rows(first: &EntryStatus, seen: &[&EntryStatus]) -> Vec<Vec<String>> {
+/// Returns one row per runner: the boxes that own its admission decisions, and the requests that
+/// they have running there.
+fn runner_rows(first: &EntryStatus, statuses: &[&EntryStatus]) -> Vec<Vec<String>> {
     let mut rows = Vec::new();
     for pool in &first.pools {
         for runner in &pool.runners {
             let name = &runner.name;
-            let same = |status: &EntryStatus| {
+            let owned = |status: &EntryStatus| {
                 let mut runners = status.pools.iter().flat_map(|pool| &pool.runners);
                 runners.find(|r| r.name == *name && r.owned).cloned()
             };
             let owners: Vec<(&str, RunnerStatus)> =
-                seen.iter().filter_map(|s| Some((s.name.as_str(), same(s)?))).collect();
+                statuses.iter().filter_map(|s| Some((s.name.as_str(), owned(s)?))).collect();
             let names: Vec<&str> = owners.iter().map(|(name, _)| *name).collect();
             let running: u64 = owners.iter().map(|(_, runner)| runner.running).sum();
-            let takes = owners.iter().all(|(_, runner)| runner.takes_work) && runner.takes_work;
-            let takes = if takes { "yes" } else { "no" };
+            let takes_work =
+                owners.iter().all(|(_, runner)| runner.takes_work) && runner.takes_work;
+            let takes_work = if takes_work { "yes" } else { "no" };
             rows.push(vec![
                 pool.name.clone(),
                 name.clone(),
                 names.join(","),
-                takes.to_owned(),
+                takes_work.to_owned(),
                 running.to_string(),
                 runner.limit.map_or_else(String::new, |limit| limit.to_string()),
             ]);
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,20 +1,20 @@
-//! Exit codes, as `--help` lists them.
+//! Process exit codes, as documented in `--help`.
 
 use std::process::ExitCode;
 
-/// How a command ended.
+/// Result of a command, which determines the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Done,
-    /// Failed; what was asked for may or may not have happened.
+    /// Failure; a requested change may or may not have been made.
     Failed,
-    /// A file has problems; nothing was changed.
+    /// A file is invalid; nothing was changed.
     Invalid,
-    /// Refused: the number is taken or stale; nothing was changed.
+    /// Refused: the configuration number is taken or stale; nothing was changed.
     Refused,
-    /// Accepted, but not in force everywhere within the time given.
-    NotYet,
+    /// Accepted, but not in force at every box within the wait limit.
+    NotInForce,
 }
 
 impl From<Exit> for ExitCode {
@@ -22,10 +22,10 @@
         Self::from(match exit {
             Exit::Done => 0,
             Exit::Failed => 1,
-            // Code 2 is the argument parser's.
+            // clap exits with code 2 on invalid arguments.
             Exit::Invalid => 3,
             Exit::Refused => 4,
-            Exit::NotYet => 5,
+            Exit::NotInForce => 5,
         })
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,10 +1,10 @@
-//! The operators' command line. Each command has a module of its own.
+//! Command-line client for the operators of a hatchpitch fleet.
 
 mod args;
+mod client;
 mod commands;
 mod exit;
 mod output;
-mod remote;
 
 use std::process::ExitCode;
 
