--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -21,7 +21,7 @@
     /// Operator addresses of the control boxes, separated by commas.
     #[arg(long, global = true, value_delimiter = ',', env = "HATCHPITCH_CONTROL")]
     pub control: Vec<SocketAddr>,
-    /// Operator address of any entry box; the others are discovered through it.
+    /// Address of any entry box; the others are discovered through it.
     #[arg(long, global = true, env = "HATCHPITCH_ENTRY")]
     pub entry: Option<SocketAddr>,
     /// Operator key, sent as a bearer token.
@@ -67,7 +67,8 @@
     Apply {
         /// Fleet file.
         file: PathBuf,
-        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is given).
+        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is
+        /// given).
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "10")]
         wait: Option<u64>,
     },
@@ -93,7 +94,7 @@
     /// List the requests that are refused for crashing upstreams, or release one.
     #[command(subcommand)]
     Quarantine(Quarantine),
-    /// Replace a control box that lost its disk. On success, the loss of a second disk loses no data.
+    /// Replace a control box that lost its disk. After success, losing another replica loses no data.
     Repair {
         /// Name of the control box, which must be running with an empty data folder.
         #[arg(long, value_name = "BOX")]
@@ -126,7 +127,8 @@
     Begin {
         /// Name of the failure domain.
         domain: String,
-        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is given).
+        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is
+        /// given).
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "10")]
         wait: Option<u64>,
     },
@@ -134,7 +136,8 @@
     End {
         /// Name of the failure domain.
         domain: String,
-        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is given).
+        /// Wait until the change is in force at every box, for at most SECONDS (10 if no value is
+        /// given).
         #[arg(long, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "10")]
         wait: Option<u64>,
     },
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client for the operator listeners of control and entry boxes.
+//! HTTP client for the operator endpoints of control and entry boxes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
