--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Slopes for docs/CAPACITY.md: what each role costs against what it grows with.
+//! Scaling measurements for docs/CAPACITY.md: the cost of each role against the quantities that it
+//! grows with.
 
 use std::time::{Duration, Instant};
 
@@ -15,26 +16,26 @@
 use hatchpitch_e2e::{Shape, TestFleet};
 use http::{HeaderMap, Method};
 
-use crate::report::{histogram, millis, table};
+use crate::report::{histogram, millis, print_table};
 
 /// Time over which idle costs are measured.
-const IDLE: Duration = Duration::from_secs(8);
-/// Time that a fleet is given to settle before.
-const SETTLE: Duration = Duration::from_secs(3);
+const IDLE_WINDOW: Duration = Duration::from_secs(8);
+/// Time for a fleet to settle after a start or restart.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Measures every part, or the one named.
+/// Runs every measurement, or only the named one.
 ///
 /// # Errors
 ///
-/// Returns an error if a fleet does not start or no part has that name.
+/// Returns an error if a fleet does not start or if `only` is not the name of a measurement.
 pub async fn run(only: Option<&str>) -> anyhow::Result<()> {
-    const PARTS: [&str; 8] =
+    const MEASUREMENTS: [&str; 8] =
         ["decisions", "ownership", "config", "idle", "in-force", "claims", "fail-over", "tokens"];
-    if let Some(only) = only.filter(|only| !PARTS.contains(only)) {
-        anyhow::bail!("no part {only:?}; there are {}", PARTS.join(", "));
+    if let Some(only) = only.filter(|only| !MEASUREMENTS.contains(only)) {
+        anyhow::bail!("unknown measurement {only:?}, expected one of {}", MEASUREMENTS.join(", "));
     }
-    for part in PARTS.into_iter().filter(|part| only.is_none_or(|only| only == *part)) {
-        match part {
+    for name in MEASUREMENTS.into_iter().filter(|name| only.is_none_or(|only| only == *name)) {
+        match name {
             "decisions" => decisions(),
             "ownership" => ownership(),
             "config" => config_bytes()?,
@@ -48,7 +49,8 @@
     Ok(())
 }
 
-/// Nanoseconds a decision against the requests that wait, and against the batch.
+/// Measures the time of a queue decision against the number of waiting requests, and of a memory
+/// decision against the batch size, in nanoseconds.
 fn decisions() {
     const ROUNDS: u32 = 20_000;
     let now = Instant::now();
@@ -75,7 +77,7 @@
         rows.push(vec![waiting.to_string(), format!("{}", each.as_nanos())]);
     }
     println!("\nqueue: one grant and one arrival");
-    table(&["waiting", "ns"], &rows);
+    print_table(&["waiting", "ns"], &rows);
 
     let mut rows = Vec::new();
     for batch in [8_u32, 16, 32, 64, 128] {
@@ -104,21 +106,22 @@
         rows.push(vec![batch.to_string(), each.as_nanos().to_string()]);
     }
     println!("\nmemory: whether one more generation fits");
-    table(&["batch", "ns"], &rows);
+    print_table(&["batch", "ns"], &rows);
 }
 
-/// Time to work out the owners of all engines at first, and after a box came or went.
+/// Measures the time to compute the owners of all engines: initially, after a box joined and after
+/// a box left.
 fn ownership() {
     let mut rows = Vec::new();
     for (boxes, engines) in [(12, 15), (48, 600), (370, 4_600)] {
-        let text = pool_text(engines);
+        let text = pool_fleet_file(engines);
         let mut state = ConfigState::default();
         if let Err(err) = apply(&mut state, &text) {
             println!("ownership: {err}");
             return;
         }
         let view = FleetView::new(&state);
-        let records: Vec<MemberRecord> = (0..=boxes).map(member).collect();
+        let records: Vec<MemberRecord> = (0..=boxes).map(member_record).collect();
         let all: Vec<&MemberRecord> = records.iter().collect();
         let mut map = OwnerMap::default();
         let mut times = Vec::new();
@@ -133,10 +136,10 @@
         rows.push(row);
     }
     println!("\nownership of all engines, us");
-    table(&["boxes", "engines", "at first", "a box came", "a box went"], &rows);
+    print_table(&["boxes", "engines", "at first", "a box came", "a box went"], &rows);
 }
 
-fn member(i: usize) -> MemberRecord {
+fn member_record(i: usize) -> MemberRecord {
     let addr: std::net::SocketAddr = ([127, 0, 0, 1], 1_000 + i as u16).into();
     MemberRecord {
         subject: Subject::Box(format!("box-{i}")),
@@ -148,8 +151,8 @@
     }
 }
 
-/// A fleet of one pool with so many engines.
-fn pool_text(engines: usize) -> String {
+/// Returns a fleet file with one pool of `engines` engines.
+fn pool_fleet_file(engines: usize) -> String {
     use std::fmt::Write as _;
     let mut text = String::from(
         "number = 1\n[[failure_domain]]\nname = \"d\"\nregion = \"r\"\n\
@@ -165,43 +168,44 @@
     text
 }
 
-/// Bytes of a change of one workspace against the size of the fleet, and after changes missed.
+/// Measures the encoded size of a configuration delta against the number of workspaces and the
+/// number of missed changes.
 fn config_bytes() -> anyhow::Result<()> {
     let mut rows = Vec::new();
     for workspaces in [10_usize, 100, 1_000, 5_500] {
         let mut state = ConfigState::default();
-        apply(&mut state, &fleet_text(1, workspaces, 0))?;
-        let missed = [1_u64, 10, 100, 1_000];
+        apply(&mut state, &workspace_fleet_file(1, workspaces, 0))?;
+        let missed_changes = [1_u64, 10, 100, 1_000];
         let mut cells = vec![workspaces.to_string()];
         let mut number = 1;
-        let mut took = Duration::ZERO;
-        for count in missed {
+        let mut delta_time = Duration::ZERO;
+        for count in missed_changes {
             let have = number;
             let changes = count.min(if workspaces > 1_000 { 20 } else { 100 });
             for i in 0..changes {
                 number += 1;
-                apply(&mut state, &fleet_text(number, workspaces, i as usize + 1))?;
+                apply(&mut state, &workspace_fleet_file(number, workspaces, i as usize + 1))?;
             }
             let started = Instant::now();
             let (snapshot, delta) = state.delta_since(have);
-            took = took.max(started.elapsed());
+            delta_time = delta_time.max(started.elapsed());
             assert!(!snapshot);
-            cells.push(format!("{}", rmp_len(&delta)));
+            cells.push(format!("{}", encoded_len(&delta)));
         }
         let (_, all) = state.delta_since(0);
-        cells.push(rmp_len(&all).to_string());
-        cells.push(took.as_micros().to_string());
+        cells.push(encoded_len(&all).to_string());
+        cells.push(delta_time.as_micros().to_string());
         rows.push(cells);
     }
     println!(
         "\nconfiguration: bytes of the delta after changes of one workspace's priority \
          (at most 100 changes, 20 at 5,500 workspaces), of a snapshot, and time to make a delta"
     );
-    table(&["workspaces", "1", "10", "100", "1000 (100/20)", "snapshot", "us"], &rows);
+    print_table(&["workspaces", "1", "10", "100", "1000 (100/20)", "snapshot", "us"], &rows);
     Ok(())
 }
 
-fn rmp_len<T: serde::Serialize>(value: &T) -> usize {
+fn encoded_len<T: serde::Serialize>(value: &T) -> usize {
     rmp_serde::to_vec_named(value).map_or(0, |bytes| bytes.len())
 }
 
@@ -212,12 +216,12 @@
     Ok(())
 }
 
-/// A fleet whose last workspace's priority depends on `turn`.
-fn fleet_text(number: u64, workspaces: usize, turn: usize) -> String {
+/// Returns a fleet file in which the priority of the last workspace depends on `revision`.
+fn workspace_fleet_file(number: u64, workspaces: usize, revision: usize) -> String {
     use std::fmt::Write as _;
     let mut text = format!("number = {number}\n");
     for i in 0..workspaces {
-        let priority = if i + 1 == workspaces { turn % 9 + 1 } else { 5 };
+        let priority = if i + 1 == workspaces { revision % 9 + 1 } else { 5 };
         let _ = write!(
             text,
             "[[workspace]]\nname = \"workspace-{i}\"\npriority = {priority}\n\
@@ -228,27 +232,28 @@
     text
 }
 
-fn shape(entry: usize) -> Shape {
+fn fleet_shape(entry: usize) -> Shape {
     Shape { control: 3, entry, engines: 2, apps: 0, ..Shape::default() }
 }
 
-/// Idle cost of an entry and a control process against the number of boxes.
+/// Measures the idle cost of an entry process and of the control leader against the number of entry
+/// boxes.
 async fn idle() -> anyhow::Result<()> {
     let mut rows = Vec::new();
     for boxes in [3_usize, 6, 12, 24, 48] {
-        let fleet = TestFleet::start(shape(boxes)).await?;
-        compio::time::sleep(SETTLE).await;
+        let fleet = TestFleet::start(fleet_shape(boxes)).await?;
+        compio::time::sleep(SETTLE_TIME).await;
         let before = snapshot(&fleet).await?;
-        compio::time::sleep(IDLE).await;
+        compio::time::sleep(IDLE_WINDOW).await;
         let after = snapshot(&fleet).await?;
         let mut cells = vec![boxes.to_string()];
         for (before, after) in before.iter().zip(&after) {
-            cells.extend(before.cost_until(after));
+            cells.extend(before.format_until(after));
         }
         rows.push(cells);
     }
-    println!("\nidle: an entry process (mean of all) and the control leader, over {IDLE:?}");
-    let head = [
+    println!("\nidle: an entry process (mean of all) and the control leader, over {IDLE_WINDOW:?}");
+    let header = [
         "boxes",
         "entry cpu %",
         "MB",
@@ -259,12 +264,12 @@
         "calls/s",
         "body B/s",
     ];
-    table(&head, &rows);
+    print_table(&header, &rows);
     Ok(())
 }
 
-/// Costs of one role, as a mean over its processes.
-struct Cost {
+/// Resource usage of one role, as a mean over its processes.
+struct RoleUsage {
     cpu: f64,
     memory: f64,
     calls: f64,
@@ -272,8 +277,10 @@
     at: Instant,
 }
 
-impl Cost {
-    fn cost_until(&self, after: &Self) -> Vec<String> {
+impl RoleUsage {
+    /// Formats the usage between two snapshots: CPU percentage, memory in megabytes, and calls and
+    /// body bytes per second.
+    fn format_until(&self, after: &Self) -> Vec<String> {
         let seconds = after.at.duration_since(self.at).as_secs_f64();
         vec![
             format!("{:.2}", (after.cpu - self.cpu) / seconds * 100.0),
@@ -284,14 +291,14 @@
     }
 }
 
-async fn snapshot(fleet: &TestFleet) -> anyhow::Result<[Cost; 2]> {
+async fn snapshot(fleet: &TestFleet) -> anyhow::Result<[RoleUsage; 2]> {
     let mut entries = Vec::new();
     for (process, at) in fleet.entry.iter().zip(&fleet.entry_addrs) {
-        entries.push((process.usage()?, gauges(fleet, *at).await?));
+        entries.push((process.usage()?, read_metrics(fleet, *at).await?));
     }
     let mut leader = Vec::new();
     for (process, at) in fleet.control.iter().zip(&fleet.control_addrs) {
-        let (calls, bytes, leads) = gauges(fleet, *at).await?;
+        let (calls, bytes, leads) = read_metrics(fleet, *at).await?;
         if leads > 0.0 {
             leader.push((process.usage()?, (calls, bytes, leads)));
         }
@@ -299,13 +306,13 @@
     Ok([mean(&entries), mean(&leader)])
 }
 
-/// What was read of one process: its usage, and calls, bytes and whether it leads.
-type Reading = (Usage, (f64, f64, f64));
+/// Usage of one process, and its counters from [`read_metrics`].
+type ProcessSample = (Usage, (f64, f64, f64));
 
-fn mean(rows: &[Reading]) -> Cost {
+fn mean(rows: &[ProcessSample]) -> RoleUsage {
     let count = rows.len().max(1) as f64;
-    let sum = |figure: fn(&Reading) -> f64| rows.iter().map(figure).sum::<f64>() / count;
-    Cost {
+    let sum = |value: fn(&ProcessSample) -> f64| rows.iter().map(value).sum::<f64>() / count;
+    RoleUsage {
         cpu: sum(|row| row.0.cpu.as_secs_f64()),
         memory: sum(|row| row.0.memory as f64),
         calls: sum(|row| row.1.0),
@@ -314,8 +321,11 @@
     }
 }
 
-/// Reads calls, bytes of bodies and whether the box leads from `/metrics`.
-async fn gauges(fleet: &TestFleet, at: std::net::SocketAddr) -> anyhow::Result<(f64, f64, f64)> {
+/// Reads from `/metrics` the number of calls, their body bytes, and whether the box leads (1 or 0).
+async fn read_metrics(
+    fleet: &TestFleet,
+    at: std::net::SocketAddr,
+) -> anyhow::Result<(f64, f64, f64)> {
     let (_, text) = fleet.operator_call(at, Method::GET, "/metrics", Bytes::new()).await?;
     let find = |name: &str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name));
@@ -328,11 +338,11 @@
     ))
 }
 
-/// Time from accepted to in force at all of 12 boxes.
+/// Measures the time from the acceptance of a configuration until it is in force at all 12 boxes.
 async fn in_force() -> anyhow::Result<()> {
     const CHANGES: u64 = 60;
-    let fleet = TestFleet::start(shape(12)).await?;
-    compio::time::sleep(SETTLE).await;
+    let fleet = TestFleet::start(fleet_shape(12)).await?;
+    compio::time::sleep(SETTLE_TIME).await;
     let (mut accepted, mut everywhere) = (Vec::new(), Vec::new());
     for number in 2..2 + CHANGES {
         let sent = Instant::now();
@@ -349,26 +359,27 @@
         vec![name.to_owned(), format!("{:.1}", millis(h, 0.5)), format!("{:.1}", millis(h, 0.99))]
     };
     let rows = [row("sent to accepted", &accepted), row("accepted to in force", &everywhere)];
-    table(&["", "p50", "p99"], &rows);
+    print_table(&["", "p50", "p99"], &rows);
     Ok(())
 }
 
-/// Claims a second with sync, from one to many at once.
+/// Measures the rate and latency of calls whose claim and settlement are synced at a majority, with
+/// 1, 8 and 64 callers at once.
 async fn claims() -> anyhow::Result<()> {
-    const TIME: Duration = Duration::from_secs(3);
+    const RUN_TIME: Duration = Duration::from_secs(3);
     let shape = Shape { control: 3, entry: 3, engines: 0, apps: 3, ..Shape::default() };
     let fleet = TestFleet::start(shape).await?;
     let mut rows = Vec::new();
-    for at_once in [1_usize, 8, 64] {
+    for concurrency in [1_usize, 8, 64] {
         let mut tasks = Vec::new();
-        for task in 0..at_once {
+        for task in 0..concurrency {
             let (caller, at) = (fleet.caller(0), fleet.entry_addrs[task % 3]);
             tasks.push(compio::runtime::spawn(async move {
                 let started = Instant::now();
                 let mut times = Vec::new();
-                while started.elapsed() < TIME {
+                while started.elapsed() < RUN_TIME {
                     let mut headers = HeaderMap::new();
-                    let key = format!("{at_once}-{task}-{}", times.len());
+                    let key = format!("{concurrency}-{task}-{}", times.len());
                     headers.insert("idempotency-key", key.parse()?);
                     let sent = Instant::now();
                     let path = "/apps/calculator/payoff";
@@ -382,36 +393,36 @@
         }
         let mut times = Vec::new();
         for task in tasks {
-            times.extend(task.await.map_err(|_| anyhow::anyhow!("a task ended"))??);
+            times.extend(task.await.map_err(|_| anyhow::anyhow!("a task did not finish"))??);
         }
-        let rate = times.len() as f64 / TIME.as_secs_f64();
+        let rate = times.len() as f64 / RUN_TIME.as_secs_f64();
         let times = histogram(times.into_iter());
         rows.push(vec![
-            at_once.to_string(),
+            concurrency.to_string(),
             format!("{rate:.0}"),
             format!("{:.1}", millis(&times, 0.5)),
             format!("{:.1}", millis(&times, 0.99)),
         ]);
     }
     println!("\nquotes: claim, call and settlement, each synced at a majority");
-    table(&["at once", "a second", "p50 ms", "p99 ms"], &rows);
+    print_table(&["at once", "a second", "p50 ms", "p99 ms"], &rows);
     Ok(())
 }
 
-/// Time from the leader's death to the next accepted change.
+/// Measures the time from a kill of the leader to the next accepted change.
 async fn fail_over() -> anyhow::Result<()> {
     const KILLS: u64 = 8;
-    let mut fleet = TestFleet::start(shape(2)).await?;
+    let mut fleet = TestFleet::start(fleet_shape(2)).await?;
     let mut times = Vec::new();
     for kill in 0..KILLS {
         let mut leader = None;
         for (i, at) in fleet.control_addrs.clone().into_iter().enumerate() {
-            if gauges(&fleet, at).await.is_ok_and(|gauges| gauges.2 > 0.0) {
+            if read_metrics(&fleet, at).await.is_ok_and(|metrics| metrics.2 > 0.0) {
                 leader = Some(i);
             }
         }
         let Some(leader) = leader else {
-            compio::time::sleep(SETTLE).await;
+            compio::time::sleep(SETTLE_TIME).await;
             continue;
         };
         fleet.control[leader].kill();
@@ -419,7 +430,7 @@
         fleet.apply(2 + kill).await?;
         times.push(killed.elapsed());
         fleet.control[leader].restart()?;
-        compio::time::sleep(SETTLE).await;
+        compio::time::sleep(SETTLE_TIME).await;
     }
     let count = times.len();
     let times = histogram(times.into_iter());
@@ -431,7 +442,7 @@
     Ok(())
 }
 
-/// Processor time of an entry process a token and a request.
+/// Measures the processor time of an entry process per token, for short and long answers.
 async fn tokens() -> anyhow::Result<()> {
     let mut rows = Vec::new();
     for length in [10_u64, 200] {
@@ -444,7 +455,7 @@
             ..Shape::default()
         };
         let fleet = TestFleet::start(shape).await?;
-        compio::time::sleep(SETTLE).await;
+        compio::time::sleep(SETTLE_TIME).await;
         let before = fleet.entry[0].usage()?;
         let started = Instant::now();
         let mut tasks = Vec::new();
@@ -461,7 +472,7 @@
         }
         let mut answers = 0;
         for task in tasks {
-            answers += task.await.map_err(|_| anyhow::anyhow!("a task ended"))??;
+            answers += task.await.map_err(|_| anyhow::anyhow!("a task did not finish"))??;
         }
         let used = fleet.entry[0].usage()?.cpu - before.cpu;
         let seconds = started.elapsed().as_secs_f64();
@@ -476,6 +487,6 @@
         ]);
     }
     println!("\nstreams: processor time of one entry process");
-    table(&["tokens an answer", "answers", "tokens/s", "us a token", "cpu %", "MB"], &rows);
+    print_table(&["tokens an answer", "answers", "tokens/s", "us a token", "cpu %", "MB"], &rows);
     Ok(())
 }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: requests come when the trace says so, however slow the answers are.
+//! Open-loop load generator: requests are sent at the times of the trace, regardless of how long
+//! earlier answers take.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,54 +10,54 @@
 
 use crate::trace::Arrival;
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Debug, Clone)]
-pub struct Served {
-    /// Workspace.
+pub struct RequestResult {
+    /// Workspace, as an index into the fleet's workspaces.
     pub workspace: usize,
-    /// Tokens that came.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// Whether the answer is whole.
+    /// Whether the answer ended with the expected number of tokens.
     pub complete: bool,
-    /// Whether it was refused as not run.
+    /// Whether the request was refused without being run.
     pub refused: bool,
-    /// From the request to the first token.
+    /// Time from the request to the first token.
     pub first_token: Option<Duration>,
-    /// Between consecutive tokens.
+    /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
 }
 
-/// Plays a trace over the entry boxes and waits for every answer.
-pub async fn play(
+/// Sends the requests of a trace to the entry boxes in turn and waits for every answer.
+pub async fn replay(
     trace: &[Arrival],
     entries: &[SocketAddr],
     callers: &[Caller],
     model: &str,
-) -> Vec<Served> {
+) -> Vec<RequestResult> {
     let started = Instant::now();
-    let served = Rc::new(RefCell::new(Vec::with_capacity(trace.len())));
+    let results = Rc::new(RefCell::new(Vec::with_capacity(trace.len())));
     let mut tasks = Vec::with_capacity(trace.len());
     for (i, arrival) in trace.iter().enumerate() {
         let wait = arrival.at.saturating_sub(started.elapsed());
         compio::time::sleep(wait).await;
         let (caller, at) = (callers[arrival.workspace].clone(), entries[i % entries.len()]);
-        let (arrival, model, served) = (arrival.clone(), model.to_owned(), served.clone());
+        let (arrival, model, results) = (arrival.clone(), model.to_owned(), results.clone());
         tasks.push(compio::runtime::spawn(async move {
             let sent = Instant::now();
             let answer = caller.chat(at, &model, &arrival.prompt, |_| true).await;
             let answer = answer.unwrap_or_default();
-            served.borrow_mut().push(judge(&arrival, &answer, sent));
+            results.borrow_mut().push(summarize(&arrival, &answer, sent));
         }));
     }
     for task in tasks {
         let _ = task.await;
     }
-    served.take()
+    results.take()
 }
 
-fn judge(arrival: &Arrival, answer: &Answer, sent: Instant) -> Served {
+fn summarize(arrival: &Arrival, answer: &Answer, sent: Instant) -> RequestResult {
     let times: Vec<Instant> = answer.tokens.iter().map(|token| token.at).collect();
-    Served {
+    RequestResult {
         workspace: arrival.workspace,
         tokens: times.len() as u64,
         complete: answer.complete && times.len() as u64 == arrival.length,
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,7 +1,7 @@
-//! Measures real processes against stand-ins on loopback.
+//! Benchmarks real hatchpitch processes against stand-in engines and applications on loopback.
 //!
-//! Every command starts its own small fleet, stops it, and prints what it
-//! measured as a table and, if asked, as JSON and a plot. No figure is asserted.
+//! Every command starts and stops its own small fleet and prints its results as a table; `policies`
+//! also writes JSON and a plot if `--out` is given. Results are reported, never asserted.
 
 mod capacity;
 mod load;
@@ -14,11 +14,11 @@
 
 use clap::{Parser, Subcommand};
 
-/// Measures hatchpitch on this machine.
+/// Benchmarks hatchpitch on this machine.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
-    /// Folder for JSON and plots.
+    /// Output folder for JSON files and plots.
     #[arg(long, global = true)]
     out: Option<PathBuf>,
     #[command(subcommand)]
@@ -27,36 +27,36 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// What an idle system adds to the first token and to each token.
+    /// Measure the latency that an idle system adds to the first token and to each further token.
     Overhead {
-        /// Answers measured each way.
+        /// Answers measured directly and through hatchpitch.
         #[arg(long, default_value_t = 60)]
         answers: usize,
     },
-    /// Policies of admission side by side, under the same trace.
+    /// Compare admission policies under the same trace.
     Policies {
-        /// Which fleet's trace.
+        /// Fleet whose traffic the trace models.
         #[arg(long, value_enum, default_value = "texas")]
         fleet: trace::FleetKind,
-        /// Seeds; each is one run of each policy.
+        /// Seeds; every policy runs once per seed.
         #[arg(long, value_delimiter = ',', default_value = "1")]
         seeds: Vec<u64>,
-        /// Load against what the engines can serve.
+        /// Offered load as a fraction of the engines' capacity.
         #[arg(long, default_value_t = 1.0)]
         load: f64,
-        /// Seconds of arrivals.
+        /// Length of the trace, in seconds.
         #[arg(long, default_value_t = 12)]
         seconds: u64,
-        /// Entry boxes.
+        /// Number of entry boxes.
         #[arg(long, default_value_t = 3)]
         entry: usize,
-        /// Policies, by name; all if none is given.
+        /// Names of the policies to run; all if none is given.
         #[arg(long, value_delimiter = ',')]
         policy: Vec<String>,
     },
-    /// Slopes for docs/CAPACITY.md.
+    /// Measure how costs scale, for docs/CAPACITY.md.
     Capacity {
-        /// One part only: decisions, ownership, config, idle, in-force, claims, fail-over, tokens.
+        /// Run only one of decisions, ownership, config, idle, in-force, claims, fail-over, tokens.
         #[arg(long)]
         only: Option<String>,
     },
@@ -68,8 +68,8 @@
     match args.command {
         Command::Overhead { answers } => overhead::run(answers).await,
         Command::Policies { fleet, seeds, load, seconds, entry, policy } => {
-            let plan = policies::Plan { fleet, seeds, load, seconds, entry, chosen: policy };
-            policies::run(&plan, args.out.as_deref()).await
+            let cfg = policies::Config { fleet, seeds, load, seconds, entry, policies: policy };
+            policies::run(&cfg, args.out.as_deref()).await
         }
         Command::Capacity { only } => capacity::run(only.as_deref()).await,
     }
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What an idle system adds to the first token and to each token, against the engine directly.
+//! Latency that an idle system adds to the first token and to each further token, compared with
+//! calling the engine directly.
 
 use std::time::{Duration, Instant};
 
@@ -8,52 +9,52 @@
 use hatchpitch_e2e::{Shape, TestFleet};
 use hatchpitch_net::Upstream;
 
-use crate::report::{histogram, millis, table};
+use crate::report::{histogram, millis, print_table};
 
-/// Tokens of each answer.
-const LENGTH: usize = 30;
+/// Number of tokens of each answer.
+const ANSWER_TOKENS: usize = 30;
 
-/// Times of one way of asking.
+/// Latencies of one access path.
 #[derive(Default)]
-struct Times {
-    first: Vec<Duration>,
+struct Latencies {
+    first_token: Vec<Duration>,
     gaps: Vec<Duration>,
 }
 
-/// Asks both ways in turn and prints the quantiles.
+/// Alternates between both paths and prints the quantiles of their latencies.
 ///
 /// # Errors
 ///
-/// Returns an error if the fleet does not start or an answer breaks off.
+/// Returns an error if the fleet does not start or an answer is incomplete.
 pub async fn run(answers: usize) -> anyhow::Result<()> {
     let shape = Shape { control: 1, entry: 3, engines: 1, apps: 0, ..Shape::default() };
     let fleet = TestFleet::start(shape).await?;
-    let (mut direct, mut through) = (Times::default(), Times::default());
+    let (mut direct, mut proxied) = (Latencies::default(), Latencies::default());
     for i in 0..answers {
-        let prompt = format!("eligibility {i} len={LENGTH}");
-        ask_direct(fleet.engine_addrs[0], &prompt, &mut direct).await?;
+        let prompt = format!("eligibility {i} len={ANSWER_TOKENS}");
+        call_engine(fleet.engine_addrs[0], &prompt, &mut direct).await?;
         let sent = Instant::now();
         let at = fleet.entry_addrs[i % 3];
         let answer = fleet.caller(0).chat(at, MODEL, &prompt, |_| true).await?;
-        anyhow::ensure!(answer.complete, "an answer broke off: {:?}", answer.error);
+        anyhow::ensure!(answer.complete, "incomplete answer: {:?}", answer.error);
         let times: Vec<Instant> = answer.tokens.iter().map(|token| token.at).collect();
-        through.add(sent, &times);
+        proxied.add(sent, &times);
     }
-    show(&direct, &through);
+    print_results(&direct, &proxied);
     Ok(())
 }
 
-impl Times {
+impl Latencies {
     fn add(&mut self, sent: Instant, times: &[Instant]) {
-        self.first.extend(times.first().map(|at| at.duration_since(sent)));
+        self.first_token.extend(times.first().map(|at| at.duration_since(sent)));
         self.gaps.extend(times.windows(2).map(|pair| pair[1].duration_since(pair[0])));
     }
 }
 
-async fn ask_direct(
+async fn call_engine(
     addr: std::net::SocketAddr,
     prompt: &str,
-    times: &mut Times,
+    times: &mut Latencies,
 ) -> anyhow::Result<()> {
     let upstream = Upstream { addr, connect_timeout: Duration::from_secs(1) };
     let id = hatchpitch::ids::new_id();
@@ -69,22 +70,22 @@
     let sent = Instant::now();
     let mut reader =
         adapter::generate(&upstream, &req, "", Duration::from_secs(5), &|_| {}).await?;
-    let mut came = Vec::new();
+    let mut arrivals = Vec::new();
     while let Some(event) = reader.next().await? {
         match event {
-            EngineEvent::Token { .. } => came.push(Instant::now()),
+            EngineEvent::Token { .. } => arrivals.push(Instant::now()),
             EngineEvent::Done { .. } => break,
             _ => {}
         }
     }
-    times.add(sent, &came);
+    times.add(sent, &arrivals);
     Ok(())
 }
 
-fn show(direct: &Times, through: &Times) {
+fn print_results(direct: &Latencies, proxied: &Latencies) {
     let mut rows = Vec::new();
-    for (name, times) in [("direct", direct), ("through", through)] {
-        let first = histogram(times.first.iter().copied());
+    for (name, times) in [("direct", direct), ("through", proxied)] {
+        let first = histogram(times.first_token.iter().copied());
         let gaps = histogram(times.gaps.iter().copied());
         rows.push(vec![
             name.to_owned(),
@@ -94,6 +95,9 @@
             format!("{:.2}", millis(&gaps, 0.99)),
         ]);
     }
-    println!("times in ms, {} answers of {LENGTH} tokens each way", direct.first.len());
-    table(&["way", "first token p50", "p99", "token gap p50", "p99"], &rows);
+    println!(
+        "times in ms, {} answers of {ANSWER_TOKENS} tokens each way",
+        direct.first_token.len()
+    );
+    print_table(&["way", "first token p50", "p99", "token gap p50", "p99"], &rows);
 }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -6,10 +6,10 @@
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 
-/// Longest time told apart, in microseconds.
+/// Largest recorded time, in microseconds; longer times are clamped to it.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// Collects times.
+/// Builds a histogram of times, in microseconds.
 pub fn histogram(times: impl Iterator<Item = Duration>) -> Histogram<u64> {
     let mut histogram = Histogram::new_with_bounds(1, MAX_MICROS, 3).expect("constant bounds");
     for time in times {
@@ -18,12 +18,12 @@
     histogram
 }
 
-/// Returns a quantile in milliseconds.
+/// Returns a quantile of a histogram, in milliseconds.
 pub fn millis(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// Returns the median of some figures.
+/// Returns the median, or NaN for an empty slice. Sorts `figures`.
 pub fn median(figures: &mut [f64]) -> f64 {
     figures.sort_by(f64::total_cmp);
     match figures.len() {
@@ -33,29 +33,29 @@
     }
 }
 
-/// Prints rows in columns.
-pub fn table(head: &[&str], rows: &[Vec<String>]) {
+/// Prints rows as right-aligned columns under a header.
+pub fn print_table(header: &[&str], rows: &[Vec<String>]) {
     let width =
-        |i: usize| rows.iter().map(|row| row[i].len()).chain([head[i].len()]).max().unwrap_or(0);
-    let line = |cells: Vec<&str>| {
+        |i: usize| rows.iter().map(|row| row[i].len()).chain([header[i].len()]).max().unwrap_or(0);
+    let print_line = |cells: Vec<&str>| {
         let cells = cells.iter().enumerate().map(|(i, cell)| format!("{cell:>0$}", width(i)));
         println!("{}", cells.collect::<Vec<_>>().join("  "));
     };
-    line(head.to_vec());
+    print_line(header.to_vec());
     for row in rows {
-        line(row.iter().map(String::as_str).collect());
+        print_line(row.iter().map(String::as_str).collect());
     }
 }
 
-/// Draws the distribution of times of each series, on logarithmic axes.
+/// Plots the quantiles of each series as SVG, with logarithmic axes.
 ///
 /// # Errors
 ///
 /// Returns an error if the file cannot be written.
 pub fn plot(path: &Path, title: &str, series: &[(String, Histogram<u64>)]) -> anyhow::Result<()> {
     let root = SVGBackend::new(path, (900, 540)).into_drawing_area();
-    let fail = |err: &dyn std::fmt::Display| anyhow::anyhow!("plot {}: {err}", path.display());
-    root.fill(&WHITE).map_err(|err| fail(&err))?;
+    let plot_err = |err: &dyn std::fmt::Display| anyhow::anyhow!("plot {}: {err}", path.display());
+    root.fill(&WHITE).map_err(|err| plot_err(&err))?;
     let max = series.iter().map(|(_, h)| h.max() as f64 / 1_000.0).fold(10.0, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 20))
@@ -63,13 +63,13 @@
         .x_label_area_size(36)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..4.0_f64, (1.0..max).log_scale())
-        .map_err(|err| fail(&err))?;
+        .map_err(|err| plot_err(&err))?;
     chart
         .configure_mesh()
         .x_desc("nines of the distribution (1 = 0.9, 2 = 0.99)")
         .y_desc("milliseconds")
         .draw()
-        .map_err(|err| fail(&err))?;
+        .map_err(|err| plot_err(&err))?;
     for (i, (name, histogram)) in series.iter().enumerate() {
         let points = (0..=80).map(|step| {
             let nines = f64::from(step) / 20.0;
@@ -79,10 +79,10 @@
         let color = Palette99::pick(i).to_rgba();
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))
-            .map_err(|err| fail(&err))?
+            .map_err(|err| plot_err(&err))?
             .label(name.clone())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
     }
-    chart.configure_series_labels().border_style(BLACK).draw().map_err(|err| fail(&err))?;
-    root.present().map_err(|err| fail(&err))
+    chart.configure_series_labels().border_style(BLACK).draw().map_err(|err| plot_err(&err))?;
+    root.present().map_err(|err| plot_err(&err))
 }
--- a/crates/bench/src/trace.rs
+++ b/crates/bench/src/trace.rs
@@ -1,4 +1,5 @@
-//! Traces of requests, made from a seed: arrivals, lengths, workspaces, shared prefixes.
+//! Synthetic request traces, generated from a seed: arrival times, output lengths, workspaces and
+//! shared prompt prefixes.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Whose traffic a trace looks like.
+/// Fleet whose traffic a trace models.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum FleetKind {
     /// Lenders: explainers and eligibility checks.
@@ -18,33 +19,34 @@
 /// One request of a trace.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it comes, from the start of the trace.
+    /// Arrival time, from the start of the trace.
     pub at: Duration,
     /// Workspace, as an index into the fleet's workspaces.
     pub workspace: usize,
-    /// Prompt; it carries the length that the stand-in engine will generate.
+    /// Prompt, which tells the stand-in engine the output length as `len=`.
     pub prompt: String,
-    /// Length of the output, in tokens; the system does not know it.
+    /// Output length, in tokens; not known to the system under test.
     pub length: u64,
 }
 
-/// Shares of the workspaces in the arrivals: the first is large.
-const SHARES: [f64; 3] = [0.5, 0.3, 0.2];
+/// Share of each workspace in the arrivals, the largest first.
+const WORKSPACE_SHARES: [f64; 3] = [0.5, 0.3, 0.2];
 
-/// Makes a trace whose arrivals ask for `tokens_a_second` of output on average.
-pub fn make(kind: FleetKind, seed: u64, tokens_a_second: f64, seconds: u64) -> Vec<Arrival> {
+/// Generates a trace of `seconds` whose arrivals request `tokens_per_second` of output on average.
+pub fn generate(kind: FleetKind, seed: u64, tokens_per_second: f64, seconds: u64) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mean = mean_length(kind);
-    let rate = tokens_a_second / mean;
+    let rate = tokens_per_second / mean;
     let mut at = 0.0;
     let mut arrivals = Vec::new();
     while at < seconds as f64 {
-        // Every few seconds a burst: half of the arrivals come at three times the rate.
+        // The first 2 of every 6 seconds are a burst at three times the rate of the other 4, so
+        // about 60 % of the arrivals fall into bursts.
         let burst = (at as u64 / 2).is_multiple_of(3);
-        let now = if burst { rate * 1.8 } else { rate * 0.6 };
-        at += -(1.0 - rng.random::<f64>()).ln() / now;
-        let length = draw_length(kind, &mut rng);
-        let workspace = pick_workspace(&mut rng);
+        let current_rate = if burst { rate * 1.8 } else { rate * 0.6 };
+        at += -(1.0 - rng.random::<f64>()).ln() / current_rate;
+        let length = sample_length(kind, &mut rng);
+        let workspace = sample_workspace(&mut rng);
         let prefix = "You answer for a member of the fleet. ".repeat(rng.random_range(1..=6));
         let prompt = format!("{prefix}request {seed} {} len={length}", arrivals.len());
         arrivals.push(Arrival { at: Duration::from_secs_f64(at), workspace, prompt, length });
@@ -52,20 +54,21 @@
     arrivals
 }
 
-fn pick_workspace(rng: &mut SmallRng) -> usize {
-    let mut left: f64 = rng.random();
-    for (i, share) in SHARES.iter().enumerate() {
-        left -= share;
-        if left < 0.0 {
+fn sample_workspace(rng: &mut SmallRng) -> usize {
+    let mut remaining: f64 = rng.random();
+    for (i, share) in WORKSPACE_SHARES.iter().enumerate() {
+        remaining -= share;
+        if remaining < 0.0 {
             return i;
         }
     }
-    SHARES.len() - 1
+    WORKSPACE_SHARES.len() - 1
 }
 
-/// Quick checks are short; the others are heavy-tailed.
-fn draw_length(kind: FleetKind, rng: &mut SmallRng) -> u64 {
-    let (short_share, scale, shape, max) = shape(kind);
+/// Samples an output length: short checks of 4 to 24 tokens are uniform, the others follow a Pareto
+/// distribution cut off at a maximum.
+fn sample_length(kind: FleetKind, rng: &mut SmallRng) -> u64 {
+    let (short_share, scale, shape, max) = length_params(kind);
     if rng.random::<f64>() < short_share {
         return rng.random_range(4..=24);
     }
@@ -73,17 +76,18 @@
     (tail as u64).min(max)
 }
 
-fn shape(kind: FleetKind) -> (f64, f64, f64, u64) {
+/// Returns the share of short checks, and the scale, shape and maximum of the Pareto distribution.
+fn length_params(kind: FleetKind) -> (f64, f64, f64, u64) {
     match kind {
         FleetKind::Texas => (0.5, 60.0, 1.3, 900),
         FleetKind::Lanka => (0.6, 120.0, 1.4, 1_200),
     }
 }
 
-/// Mean length, from many draws of a fixed seed.
+/// Returns the mean output length, estimated from samples with a fixed seed.
 pub fn mean_length(kind: FleetKind) -> f64 {
-    const DRAWS: u32 = 20_000;
+    const SAMPLES: u32 = 20_000;
     let mut rng = SmallRng::seed_from_u64(7);
-    let sum: u64 = (0..DRAWS).map(|_| draw_length(kind, &mut rng)).sum();
-    sum as f64 / f64::from(DRAWS)
+    let sum: u64 = (0..SAMPLES).map(|_| sample_length(kind, &mut rng)).sum();
+    sum as f64 / f64::from(SAMPLES)
 }
