--- a/crates/hatchpitch/src/dispatch/scheduler.rs
+++ b/crates/hatchpitch/src/dispatch/scheduler.rs
@@ -19,7 +19,7 @@
 use crate::ids::{AttemptId, FailureDomainName, Priority, RequestKind, RunnerName, WorkspaceName};
 use crate::routing::state::{Closed, RunnerQuery, RunnerSpec};
 use crate::routing::{RoutingConfig, RunReport, RunnerTable};
-use crate::upstream_heads::SharedSignals;
+use crate::upstream_signals::SharedSignals;
 
 /// Queued requests that are considered when a slot is free. Those with a prompt at least as long
 /// as one of the same kind that did not fit are skipped, so that a scan costs only a few attempts.
--- a/crates/hatchpitch/src/engine/adapter.rs
+++ b/crates/hatchpitch/src/engine/adapter.rs
@@ -13,7 +13,7 @@
 use super::messages::{EngineEvent, EngineLoad, EngineRefusal, GenerateRequest};
 use crate::ids::TokenIndex;
 use crate::trace::TRACEPARENT;
-use crate::upstream_heads::{HeadNames, HeadSignals};
+use crate::upstream_signals::{SignalHeaders, UpstreamSignals};
 
 /// Maximum length of one line of a stream, in bytes.
 const MAX_LINE: usize = 64 * 1024;
@@ -23,11 +23,11 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Response headers in which engines and services announce their rate limit or that they leave.
-pub const HEAD_NAMES: HeadNames =
-    HeadNames { limit: "hatchpitch-rate-limit", leaving: "hatchpitch-leaving" };
+pub const SIGNAL_HEADERS: SignalHeaders =
+    SignalHeaders { limit: "hatchpitch-rate-limit", leaving: "hatchpitch-leaving" };
 
 /// Callback for the signals in the response head of an upstream.
-pub type OnHead<'a> = &'a dyn Fn(HeadSignals);
+pub type OnHead<'a> = &'a dyn Fn(UpstreamSignals);
 
 /// A failed call to an engine.
 #[derive(Debug)]
@@ -261,8 +261,8 @@
 }
 
 /// Returns the signals about its upstream in a response head.
-pub fn head_signals(res: &Response<Incoming>) -> HeadSignals {
-    HeadSignals::read(&HEAD_NAMES, res.status(), res.headers())
+pub fn head_signals(res: &Response<Incoming>) -> UpstreamSignals {
+    UpstreamSignals::read(&SIGNAL_HEADERS, res.status(), res.headers())
 }
 
 /// Sends a request and reads the complete answer.
--- a/crates/hatchpitch/src/routing/state.rs
+++ b/crates/hatchpitch/src/routing/state.rs
@@ -17,7 +17,7 @@
 use crate::admission::policy::Pick;
 use crate::engine::EngineLoad;
 use crate::ids::{AttemptId, FailureDomainName, Priority, RunnerName};
-use crate::upstream_heads::SharedSignals;
+use crate::upstream_signals::SharedSignals;
 
 /// Configuration of ejection and of the choice between runners.
 #[derive(Debug, Clone, Copy)]
@@ -324,7 +324,7 @@
         // If another box grants the permits for this limit, the caller asks it next.
         let _ = self.signals.limits.borrow_mut().take(&name, query.priority, now);
         if query.sends_here {
-            self.signals.rests.borrow_mut().take(&name, now);
+            self.signals.backoffs.borrow_mut().take(&name, now);
         }
         match query.copied {
             0 => best.prefill.add(query.id.clone(), candidate.prompt, now),
@@ -408,7 +408,7 @@
     /// Returns the time until a runner accepts a request, if all runners that could run it are at
     /// their rate limits or resting; otherwise `None`.
     pub fn closed(&self, query: &RunnerQuery<'_>, now: Instant) -> Option<Closed> {
-        let (limits, rests) = (self.signals.limits.borrow(), self.signals.rests.borrow());
+        let (limits, rests) = (self.signals.limits.borrow(), self.signals.backoffs.borrow());
         if limits.limited() == 0 && rests.is_empty() {
             return None;
         }
@@ -436,7 +436,7 @@
         runner: &RunnerState,
         now: Instant,
     ) -> f64 {
-        let returns = |name| self.signals.rests.borrow().is_returning(name, now);
+        let returns = |name| self.signals.backoffs.borrow().is_recovering(name, now);
         let is_at_risk = query.only_try && query.sends_here && returns(&runner.spec.name);
         if is_at_risk { REJECTION_PENALTY } else { 0.0 }
     }
@@ -445,7 +445,7 @@
     fn admits(&self, query: &RunnerQuery<'_>, runner: &str, now: Instant) -> bool {
         let limits = self.signals.limits.borrow();
         let excluded = query.skips_limited && limits.limit(runner).is_some();
-        let resting = query.sends_here && !self.signals.rests.borrow().admits(runner, now);
+        let resting = query.sends_here && !self.signals.backoffs.borrow().admits(runner, now);
         !excluded && !resting && limits.admits(runner, query.priority, now)
     }
 
@@ -456,7 +456,7 @@
             return;
         }
         for runner in self.runners.values().filter(|runner| query.allows(&runner.spec)) {
-            limits.expect(&runner.spec.name, query.priority, now);
+            limits.record_demand(&runner.spec.name, query.priority, now);
         }
     }
 
