--- a/crates/hatchpitch/src/entry/daemon.rs
+++ b/crates/hatchpitch/src/entry/daemon.rs
@@ -162,7 +162,7 @@
 /// Fetches a configuration from a control box that reported it, unless the feed delivers it first.
 /// It is fetched once, however many control boxes report it.
 fn fetch_config(cx: &Rc<EntryCx>, source: SocketAddr, number: ConfigNumber) {
-    if cx.reported_config_number.get() >= number || cx.config.is_arriving() {
+    if cx.reported_config_number.get() >= number || cx.config.is_transferring() {
         return;
     }
     cx.reported_config_number.set(number);
