--- a/crates/hatchpitch/src/entry/context.rs
+++ b/crates/hatchpitch/src/entry/context.rs
@@ -29,7 +29,7 @@
 use crate::outcome::Problem;
 use crate::quarantine::Observer;
 use crate::registry::Phase;
-use crate::registry::follow::Followed;
+use crate::registry::follow::FollowState;
 use crate::routing::state::RunnerSpec;
 use crate::routing::{ColdLimit, RoutingConfig};
 use crate::settings::EntrySettings;
@@ -104,7 +104,7 @@
     /// Gates over all engines of a pool, used while no owner is reachable.
     fallback: RefCell<HashMap<PoolName, Gate>>,
     /// Upstreams that announce themselves, and the control boxes that report them.
-    pub upstreams: Rc<Followed>,
+    pub upstreams: Rc<FollowState>,
     /// Highest configuration number that a control box has reported and that is being fetched, or
     /// 0.
     pub reported_config_number: Cell<ConfigNumber>,
@@ -133,7 +133,7 @@
         membership: SharedMembership,
         boxes: BoxClient,
     ) -> Rc<Self> {
-        let upstreams = Followed::new(&settings.control);
+        let upstreams = FollowState::new(&settings.control);
         let followed = upstreams.clone();
         let leader = LeaderClient::new(boxes.clone(), move || followed.control());
         Rc::new(Self {
--- a/crates/hatchpitch/src/entry/daemon.rs
+++ b/crates/hatchpitch/src/entry/daemon.rs
@@ -21,7 +21,7 @@
 use crate::membership::messages::{MemberRecord, MemberStatus, Subject};
 use crate::membership::state::{Membership, MembershipConfig};
 use crate::membership::task as membership_task;
-use crate::registry::follow::{self, OrderHints};
+use crate::registry::follow::{self, FollowCallbacks};
 use crate::routing::task as routing;
 use crate::settings::EntrySettings;
 use crate::signals;
@@ -134,7 +134,7 @@
     let (number_cx, fetch_cx) = (cx.clone(), cx.clone());
     let (evacuation_revision_cx, evacuation_cx) = (cx.clone(), cx.clone());
     let (quarantine_revision_cx, quarantine_cx) = (cx.clone(), cx.clone());
-    let hints = OrderHints {
+    let callbacks = FollowCallbacks {
         number: Rc::new(move || {
             number_cx.config.number().max(number_cx.reported_config_number.get())
         }),
@@ -149,7 +149,7 @@
         }),
     };
     let name = cx.settings.name.clone();
-    let upstreams = follow::run(name, followed, cx.boxes.clone(), hints, stop.clone());
+    let upstreams = follow::run(name, followed, cx.boxes.clone(), callbacks, stop.clone());
     spawn_essential("upstreams", upstreams);
     spawn_essential("pressure", backlog_monitor::run(cx.boxes.clone(), stop.clone()));
     spawn_essential("configuration", follow_config(cx.clone(), stop.clone()));
