--- a/crates/hatchpitch/src/entry/callers.rs
+++ b/crates/hatchpitch/src/entry/callers.rs
@@ -206,8 +206,7 @@
     }
 }
 
-/// Returns the path as it may be logged: a response token is replaced by an ellipsis, as whoever
-/// has it could resume the answer.
+/// Returns the path as it may be logged: a response token is replaced by an ellipsis.
 fn path_label(path: &str) -> &str {
     if path.starts_with("/v1/responses/") { "/v1/responses/…" } else { path }
 }
--- a/crates/hatchpitch/src/replication/bootstrap.rs
+++ b/crates/hatchpitch/src/replication/bootstrap.rs
@@ -129,7 +129,7 @@
             Decision::NotMember => return Ok(BootstrapOutcome::NotMember),
             decision @ Decision::Wait if rounds.is_multiple_of(ROUNDS_PER_WARNING) => {
                 log::warn!(
-                    "no log on this disk yet: {decision:?}; {} of {} peers answered",
+                    "no log here yet: {decision:?}; {} of {} peers answered",
                     answers.len(),
                     peers.len()
                 );
--- a/crates/hatchpitch/src/upstream_signals/task.rs
+++ b/crates/hatchpitch/src/upstream_signals/task.rs
@@ -33,7 +33,7 @@
 /// query. It neither changes a limit nor counts toward recovery from a backoff.
 pub fn record_background(cx: &Rc<EntryCx>, upstream: &str, signals: UpstreamSignals) {
     if let Some(backoff) = signals.backoff {
-        log::info!(upstream = upstream, rest_ms = backoff.as_millis(); "upstream requested a backoff");
+        log::info!(upstream = upstream, rest_ms = backoff.as_millis(); "an upstream asks for rest");
         cx.backoffs.borrow_mut().start(upstream, backoff, clock::now());
     }
     if signals.leaving {
@@ -47,7 +47,7 @@
     if !cx.leaving.borrow_mut().record(upstream, ttl, clock::now()) {
         return;
     }
-    log::info!(upstream = upstream; "upstream is leaving");
+    log::info!(upstream = upstream; "an upstream said that it leaves");
     cx.apply_leaving();
     let send = |cx: &EntryCx, peer, upstreams: &[RunnerName]| {
         let mut notices = cx.leaving.borrow().notices(clock::now());
