--- a/crates/soak/src/condition.rs
+++ b/crates/soak/src/condition.rs
@@ -1,44 +1,44 @@
-//! What the links between the parties of a run do to bytes, as the schedule sets it.
+//! Conditions of the network links between the parties of a run, as set by the fault schedule.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Who speaks over a link.
+/// One end of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Party {
-    /// A box, by its place in the fleet.
+    /// A box, by its index in the fleet.
     Box(usize),
-    /// An upstream, by its place in the pool.
+    /// An upstream, by its index in the pool.
     Upstream(usize),
-    /// Callers, the operator and whoever else is no box.
+    /// Callers, the operator and every other process whose box is unknown or not looked up.
     Outside,
 }
 
-/// What a link does to bytes in one direction.
+/// How a link treats bytes in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Condition {
-    /// They pass.
+    /// Bytes pass at once.
     #[default]
     Clear,
-    /// They pass later.
+    /// Bytes pass after a delay.
     Delayed(Duration),
-    /// They are held until the link is clear again.
-    Silent,
+    /// Bytes are held until the link is clear again.
+    Blocked,
 }
 
 /// The conditions of all links.
 #[derive(Debug, Default)]
 pub struct Links {
     directions: RefCell<HashMap<(Party, Party), Condition>>,
-    /// Counts resets of all connections of a party.
+    /// Number of times that the connections to a party were reset.
     resets: RefCell<HashMap<Party, u64>>,
     /// Parties to which new connections are reset.
     refusing: RefCell<HashSet<Party>>,
 }
 
 impl Links {
-    /// Sets what happens to bytes on their way from one party to another.
+    /// Sets the condition of the link from one party to another, in that direction only.
     pub fn set(&self, from: Party, to: Party, condition: Condition) {
         let mut directions = self.directions.borrow_mut();
         match condition {
@@ -47,18 +47,18 @@
         };
     }
 
-    /// Makes every link clear.
+    /// Clears all links and accepts new connections to every party.
     pub fn clear(&self) {
         self.directions.borrow_mut().clear();
         self.refusing.borrow_mut().clear();
     }
 
-    /// Returns what happens to bytes on their way from one party to another.
+    /// Returns the condition of the link from one party to another.
     pub fn get(&self, from: Party, to: Party) -> Condition {
         self.directions.borrow().get(&(from, to)).copied().unwrap_or_default()
     }
 
-    /// Returns whether bytes pass on every link.
+    /// Returns whether bytes pass without delay on every link.
     pub fn all_clear(&self) -> bool {
         self.directions.borrow().is_empty()
     }
--- a/crates/soak/src/context.rs
+++ b/crates/soak/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a run share.
+//! State shared by all parts of a run.
 
 use hatchpitch_net::Stop;
 
@@ -7,16 +7,16 @@
 use crate::sources::Sources;
 use crate::wire::Wire;
 
-/// What all parts of a run share.
+/// State shared by all parts of a run.
 pub struct RunCx {
-    /// The protocol.
+    /// Adapter for the protocol of the programs under test.
     pub wire: Wire,
-    /// Conditions of the links.
+    /// Conditions of the network links.
     pub links: Links,
-    /// Whose processes open connections.
+    /// Maps connections to the boxes that opened them.
     pub sources: Sources,
-    /// What is seen.
+    /// Observations that are verified after the run.
     pub record: Record,
-    /// Ends all tasks.
+    /// Set when the run ends; all tasks stop then.
     pub stop: Stop,
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,140 +1,149 @@
-//! Carries out the faults of a schedule on boxes, links and upstreams, and mends them.
+//! Injects the scheduled faults into boxes, links and upstreams, and repairs them.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use crate::condition::{Condition, Party};
 use crate::context::RunCx;
-use crate::fleet::{BOTH, Fleet};
-use crate::schedule::{Fault, Shape};
-use crate::upstreams::{Pool, Trouble};
+use crate::fleet::{ALL_ROLES, Fleet};
+use crate::schedule::{Fault, FleetSize};
+use crate::upstreams::{AnswerFault, Pool};
 use crate::wire::Role;
 
-/// Time that processes of all boxes stay down after they were killed: as long as one that ended by
-/// itself.
-const DOWN: Duration = Duration::from_millis(300);
+/// Time between killing the processes of all boxes and restarting them, equal to the delay after an
+/// unexpected exit.
+const DOWNTIME: Duration = Duration::from_millis(300);
 
-/// Whatever faults reach.
-pub struct Faults {
-    /// What the parts of the run share.
+/// Injects faults into the boxes, links and upstreams of a run.
+pub struct FaultInjector {
+    /// State shared by all parts of the run.
     pub cx: Rc<RunCx>,
-    /// How many of each there are.
-    pub shape: Shape,
+    /// Number of boxes and upstreams.
+    pub size: FleetSize,
     /// The boxes.
     pub fleet: Rc<Fleet>,
     /// The upstreams.
     pub pool: Rc<Pool>,
 }
 
-impl Faults {
-    /// Lets a fault happen, and ends it after its time.
-    pub async fn inject(&self, fault: Fault, lasts: Duration) {
+impl FaultInjector {
+    /// Injects a fault and ends it after `duration`.
+    pub async fn inject(&self, fault: Fault, duration: Duration) {
         match fault {
-            Fault::KillBox(at) => self.kill(&[at], &BOTH, lasts).await,
-            Fault::KillCore => self.kill(&self.shape.all_boxes(), &[Role::Control], DOWN).await,
-            Fault::KillAll => self.kill(&self.shape.all_boxes(), &BOTH, DOWN).await,
-            Fault::Freeze(at) => self.freeze(at, lasts).await,
-            Fault::StopBox(at) => self.fleet.stop_and_start(at).await,
-            Fault::HangUp(at) => self.fleet.signal(at, libc::SIGHUP),
-            Fault::LoseDisk(at) => self.damage(at, Fleet::lose_disk, lasts).await,
-            Fault::TornWrite(at) => self.damage(at, Fleet::tear_log, lasts).await,
-            Fault::FullDisk(at) => self.fill_disk(at, lasts).await,
+            Fault::KillBox(index) => self.kill(&[index], &ALL_ROLES, duration).await,
+            Fault::KillCore => self.kill(&self.size.all_boxes(), &[Role::Control], DOWNTIME).await,
+            Fault::KillAll => self.kill(&self.size.all_boxes(), &ALL_ROLES, DOWNTIME).await,
+            Fault::Freeze(index) => self.freeze(index, duration).await,
+            Fault::StopBox(index) => self.fleet.stop_and_start(index).await,
+            Fault::HangUp(index) => self.fleet.signal(index, libc::SIGHUP),
+            Fault::LoseDisk(index) => self.kill_and_damage(index, Fleet::lose_disk, duration).await,
+            Fault::TornWrite(index) => self.kill_and_damage(index, Fleet::tear_log, duration).await,
+            Fault::FullDisk(index) => self.fill_disk(index, duration).await,
             Fault::CutOneWay(from, to) => {
-                self.silence(Party::Box(from), Party::Box(to), lasts).await;
+                self.block(Party::Box(from), Party::Box(to), duration).await;
             }
-            Fault::CutOff(at) => self.cut_off(at, Condition::Silent, lasts).await,
-            Fault::Slow(at, ms) => {
+            Fault::CutOff(index) => self.degrade_links(index, Condition::Blocked, duration).await,
+            Fault::Slow(index, ms) => {
                 let delay = Duration::from_millis(ms);
-                self.cut_off(at, Condition::Delayed(delay), lasts).await;
+                self.degrade_links(index, Condition::Delayed(delay), duration).await;
             }
-            Fault::ResetBox(at) => self.cx.links.reset(Party::Box(at)),
-            Fault::CrashUpstream(at) => self.crash_upstream(at, lasts).await,
-            Fault::SilenceUpstream(at) => {
-                self.silence(Party::Upstream(at), Party::Outside, lasts).await;
+            Fault::ResetBox(index) => self.cx.links.reset(Party::Box(index)),
+            Fault::CrashUpstream(index) => self.crash_upstream(index, duration).await,
+            Fault::SilenceUpstream(index) => {
+                self.block(Party::Upstream(index), Party::Outside, duration).await;
             }
-            Fault::ResetUpstream(at) => self.cx.links.reset(Party::Upstream(at)),
-            Fault::LoseAnswers(at) => self.trouble(at, Trouble::LosesAnswers, lasts).await,
-            Fault::SpoilAnswers(at) => self.trouble(at, Trouble::SpoilsAnswers, lasts).await,
-            Fault::Reclaim(at) => self.pool.reclaim(at).await,
-            Fault::Leave(at) => self.pool.leave(at).await,
+            Fault::ResetUpstream(index) => self.cx.links.reset(Party::Upstream(index)),
+            Fault::LoseAnswers(index) => {
+                self.fault_answers(index, AnswerFault::Lost, duration).await
+            }
+            Fault::SpoilAnswers(index) => {
+                self.fault_answers(index, AnswerFault::Truncated, duration).await
+            }
+            Fault::Reclaim(index) => self.pool.reclaim(index).await,
+            Fault::Leave(index) => self.pool.leave(index).await,
         }
     }
 
-    /// Ends everything that may still be wrong.
-    pub fn mend(&self) {
+    /// Ends all faults: clears the links, and restarts boxes and upstreams that are down.
+    pub fn repair(&self) {
         self.cx.links.clear();
-        for at in self.shape.all_boxes() {
-            self.fleet.freeze(at, false);
-            self.fleet.fill_disk(at, false);
-            self.fleet.start_again(at);
+        for index in self.size.all_boxes() {
+            self.fleet.freeze(index, false);
+            self.fleet.fill_disk(index, false);
+            self.fleet.start_again(index);
         }
-        for at in 0..self.shape.upstreams {
-            self.pool.trouble(at, Trouble::None);
-            self.pool.revive(at);
+        for index in 0..self.size.upstreams {
+            self.pool.set_answer_fault(index, AnswerFault::None);
+            self.pool.restart(index);
         }
     }
 
-    async fn kill(&self, boxes: &[usize], roles: &[Role], down: Duration) {
-        for at in boxes {
-            self.fleet.kill(*at, roles);
+    async fn kill(&self, boxes: &[usize], roles: &[Role], downtime: Duration) {
+        for index in boxes {
+            self.fleet.kill(*index, roles);
         }
-        compio::time::sleep(down).await;
-        for at in boxes {
-            self.fleet.start_again(*at);
+        compio::time::sleep(downtime).await;
+        for index in boxes {
+            self.fleet.start_again(*index);
         }
     }
 
-    async fn freeze(&self, at: usize, lasts: Duration) {
-        self.fleet.freeze(at, true);
-        compio::time::sleep(lasts).await;
-        self.fleet.freeze(at, false);
+    async fn freeze(&self, index: usize, duration: Duration) {
+        self.fleet.freeze(index, true);
+        compio::time::sleep(duration).await;
+        self.fleet.freeze(index, false);
     }
 
-    /// Kills the control process of a box, and damages its disk before the next start.
-    async fn damage(&self, at: usize, damage: fn(&Fleet, usize), lasts: Duration) {
-        self.fleet.kill(at, &[Role::Control]);
-        damage(&self.fleet, at);
-        compio::time::sleep(lasts).await;
-        self.fleet.start_again(at);
+    /// Kills the control process of a box and damages its disk before the restart.
+    async fn kill_and_damage(
+        &self,
+        index: usize,
+        damage_disk: fn(&Fleet, usize),
+        duration: Duration,
+    ) {
+        self.fleet.kill(index, &[Role::Control]);
+        damage_disk(&self.fleet, index);
+        compio::time::sleep(duration).await;
+        self.fleet.start_again(index);
     }
 
-    async fn fill_disk(&self, at: usize, lasts: Duration) {
-        self.fleet.fill_disk(at, true);
-        compio::time::sleep(lasts).await;
-        self.fleet.fill_disk(at, false);
+    async fn fill_disk(&self, index: usize, duration: Duration) {
+        self.fleet.fill_disk(index, true);
+        compio::time::sleep(duration).await;
+        self.fleet.fill_disk(index, false);
     }
 
-    /// Holds what one party sends to another.
-    async fn silence(&self, from: Party, to: Party, lasts: Duration) {
-        self.cx.links.set(from, to, Condition::Silent);
-        compio::time::sleep(lasts).await;
+    /// Blocks bytes from one party to another for `duration`.
+    async fn block(&self, from: Party, to: Party, duration: Duration) {
+        self.cx.links.set(from, to, Condition::Blocked);
+        compio::time::sleep(duration).await;
         self.cx.links.set(from, to, Condition::Clear);
     }
 
-    /// Sets the links between a box and all others, and makes them clear again.
-    async fn cut_off(&self, at: usize, condition: Condition, lasts: Duration) {
-        self.set_links(at, condition);
-        compio::time::sleep(lasts).await;
-        self.set_links(at, Condition::Clear);
+    /// Sets the links between a box and all others for `duration`, then clears them.
+    async fn degrade_links(&self, index: usize, condition: Condition, duration: Duration) {
+        self.set_links(index, condition);
+        compio::time::sleep(duration).await;
+        self.set_links(index, Condition::Clear);
     }
 
-    /// Sets the links between a box and all others, both ways.
-    fn set_links(&self, at: usize, condition: Condition) {
-        for other in self.shape.all_boxes().into_iter().filter(|other| *other != at) {
-            self.cx.links.set(Party::Box(at), Party::Box(other), condition);
-            self.cx.links.set(Party::Box(other), Party::Box(at), condition);
+    /// Sets the links between a box and all others in both directions.
+    fn set_links(&self, index: usize, condition: Condition) {
+        for other in self.size.all_boxes().into_iter().filter(|other| *other != index) {
+            self.cx.links.set(Party::Box(index), Party::Box(other), condition);
+            self.cx.links.set(Party::Box(other), Party::Box(index), condition);
         }
     }
 
-    async fn crash_upstream(&self, at: usize, lasts: Duration) {
-        self.pool.crash(at);
-        compio::time::sleep(lasts).await;
-        self.pool.revive(at);
+    async fn crash_upstream(&self, index: usize, duration: Duration) {
+        self.pool.crash(index);
+        compio::time::sleep(duration).await;
+        self.pool.restart(index);
     }
 
-    async fn trouble(&self, at: usize, trouble: Trouble, lasts: Duration) {
-        self.pool.trouble(at, trouble);
-        compio::time::sleep(lasts).await;
-        self.pool.trouble(at, Trouble::None);
+    async fn fault_answers(&self, index: usize, answer_fault: AnswerFault, duration: Duration) {
+        self.pool.set_answer_fault(index, answer_fault);
+        compio::time::sleep(duration).await;
+        self.pool.set_answer_fault(index, AnswerFault::None);
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The boxes of a run: processes behind proxies, and what can be done to them from outside.
+//! The boxes of a run: processes behind proxies, and the faults that can be applied to them.
 
 use std::cell::RefCell;
 use std::io::Write as _;
@@ -14,45 +14,45 @@
 use crate::proxy::Proxy;
 use crate::wire::{BoxPlan, Ports, Role};
 
-/// Time after a SIGTERM at which a process is killed, as a platform would.
-const GRACE: Duration = Duration::from_secs(8);
-/// Time after which a process that ended by itself is started again.
-const RESTART_AFTER: Duration = Duration::from_millis(300);
-/// Time between two looks at the processes.
-const LOOK: Duration = Duration::from_millis(50);
-/// Both roles of processes.
-pub const BOTH: [Role; 2] = [Role::Control, Role::Entry];
-/// Bytes of a record that was torn off: its head, and not all of its payload.
-const TORN: [u8; 21] = [0xab; 21];
+/// Time after a SIGTERM at which a process is killed, as a platform would do.
+const STOP_GRACE: Duration = Duration::from_secs(8);
+/// Delay before a process that exited unexpectedly is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Interval at which the processes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// All roles that a process of a box can have.
+pub const ALL_ROLES: [Role; 2] = [Role::Control, Role::Entry];
+/// Bytes of a partially written log record: its header and the first bytes of its payload.
+const PARTIAL_RECORD: [u8; 21] = [0xab; 21];
 
-/// A process that is started again when it ends by itself.
-struct Managed {
+/// A process that is restarted when it exits unexpectedly.
+struct ManagedProcess {
     role: Role,
     process: Process,
-    /// Counts its starts.
-    life: u64,
-    /// Whether it should run.
-    wanted: bool,
-    /// Whether it was asked to stop, so that its end is none of its own, whatever other faults
-    /// want of its box meanwhile.
-    asked_to_stop: bool,
+    /// Number of times that the process was started.
+    starts: u64,
+    /// Whether the process should be running.
+    should_run: bool,
+    /// Whether the process was asked to stop. Its exit is then expected, even if another fault sets
+    /// `should_run` in the meantime.
+    stop_requested: bool,
 }
 
-/// All boxes.
+/// All boxes of a run.
 pub struct Fleet {
     cx: Rc<RunCx>,
-    /// How each box is set up.
+    /// Settings of each box.
     plans: RefCell<Vec<BoxPlan>>,
-    processes: RefCell<Vec<Vec<Managed>>>,
+    processes: RefCell<Vec<Vec<ManagedProcess>>>,
     folder: PathBuf,
 }
 
 impl Fleet {
-    /// Starts boxes that keep their files in `folder`.
+    /// Starts the boxes, with their settings and logs in `folder`.
     ///
     /// # Errors
     ///
-    /// Returns an error if a listener can't be bound or a process does not start.
+    /// Returns an error if a listener can't be bound or a process can't be started.
     pub async fn start(
         cx: Rc<RunCx>,
         folder: &Path,
@@ -65,14 +65,14 @@
             plans: RefCell::new(plans),
             folder: folder.to_owned(),
         });
-        for place in 0..boxes {
-            fleet.open_proxies(place).await?;
+        for index in 0..boxes {
+            fleet.open_proxies(index).await?;
         }
-        for place in 0..boxes {
-            let has_control = fleet.plans.borrow()[place].control;
-            let roles = BOTH.into_iter().filter(|role| has_control || *role == Role::Entry);
-            let started = roles.map(|role| fleet.first_start(place, role));
-            let started = started.collect::<anyhow::Result<Vec<Managed>>>()?;
+        for index in 0..boxes {
+            let has_control = fleet.plans.borrow()[index].has_control;
+            let roles = ALL_ROLES.into_iter().filter(|role| has_control || *role == Role::Entry);
+            let started = roles.map(|role| fleet.start_process(index, role));
+            let started = started.collect::<anyhow::Result<Vec<ManagedProcess>>>()?;
             fleet.processes.borrow_mut().push(started);
         }
         for plan in fleet.plans.borrow_mut().iter_mut() {
@@ -81,10 +81,10 @@
         Ok(fleet)
     }
 
-    /// Opens a proxy before every listener of a box but those of the product's own interfaces,
-    /// which nobody calls in a run.
-    async fn open_proxies(&self, place: usize) -> anyhow::Result<()> {
-        let plan = self.plans.borrow()[place].clone();
+    /// Opens a proxy in front of every listener of a box, except for the product's own interfaces,
+    /// which no run uses.
+    async fn open_proxies(&self, index: usize) -> anyhow::Result<()> {
+        let plan = self.plans.borrow()[index].clone();
         let Ports { boxes, own: _, front, ready, directory, control } = plan.ports;
         let listeners = [
             (boxes[0], true),
@@ -94,68 +94,68 @@
             (directory, false),
             (control, false),
         ];
-        for (port, by_box) in listeners {
+        for (port, identifies_box) in listeners {
             let addr = SocketAddr::from((plan.ip, port));
             let target = SocketAddr::from((plan.listen_ip, port));
-            let proxy = Proxy { addr, target, party: Party::Box(place), by_box };
+            let proxy = Proxy { addr, target, party: Party::Box(index), identifies_box };
             proxy.open(self.cx.clone()).await?;
         }
         Ok(())
     }
 
     /// Starts a process for the first time.
-    fn first_start(&self, place: usize, role: Role) -> anyhow::Result<Managed> {
-        let name = format!("box-{place}-{role:?}").to_lowercase();
-        let file = self.write_settings(place)?;
+    fn start_process(&self, index: usize, role: Role) -> anyhow::Result<ManagedProcess> {
+        let name = format!("box-{index}-{role:?}").to_lowercase();
+        let file = self.write_settings(index)?;
         let args = (self.cx.wire.arguments)(role, &file);
         let log = self.folder.join(format!("{name}.log"));
         let process = Process::start(&name, self.cx.wire.program, args, log)?;
-        self.note_start(place, &process);
-        Ok(Managed { role, process, life: 1, wanted: true, asked_to_stop: false })
+        self.register(index, &process);
+        Ok(ManagedProcess { role, process, starts: 1, should_run: true, stop_requested: false })
     }
 
-    /// Notes which box a process belongs to.
-    fn note_start(&self, place: usize, process: &Process) {
+    /// Registers a process as belonging to a box.
+    fn register(&self, index: usize, process: &Process) {
         if let Some(id) = process.id() {
-            self.cx.sources.add(id, place);
+            self.cx.sources.add(id, index);
         }
     }
 
-    /// Writes the settings of a box as they are now.
-    fn write_settings(&self, place: usize) -> anyhow::Result<PathBuf> {
-        let file = self.folder.join(format!("box-{place}.settings"));
-        let text = (self.cx.wire.settings)(&self.plans.borrow()[place]);
+    /// Writes the current settings of a box.
+    fn write_settings(&self, index: usize) -> anyhow::Result<PathBuf> {
+        let file = self.folder.join(format!("box-{index}.settings"));
+        let text = (self.cx.wire.settings)(&self.plans.borrow()[index]);
         std::fs::write(&file, text)?;
         Ok(file)
     }
 
-    /// Returns how many boxes there are.
+    /// Returns the number of boxes.
     pub fn boxes(&self) -> usize {
         self.plans.borrow().len()
     }
 
-    /// Returns an address of a box that everybody uses.
-    pub fn addr(&self, place: usize, port: impl Fn(&Ports) -> u16) -> SocketAddr {
+    /// Returns the address of a box's proxy for the chosen port.
+    pub fn addr(&self, index: usize, port: impl Fn(&Ports) -> u16) -> SocketAddr {
         let plans = self.plans.borrow();
-        SocketAddr::from((plans[place].ip, port(&plans[place].ports)))
+        SocketAddr::from((plans[index].ip, port(&plans[index].ports)))
     }
 
-    /// Returns the box at an address, if one is.
-    pub fn place_of(&self, addr: SocketAddr) -> Option<usize> {
+    /// Returns the index of the box with this address, if there is one.
+    pub fn box_at(&self, addr: SocketAddr) -> Option<usize> {
         self.plans.borrow().iter().position(|plan| addr.ip() == plan.ip)
     }
 
     /// Returns how often the entry process of a box was started.
-    pub fn entry_life(&self, place: usize) -> u64 {
+    pub fn entry_starts(&self, index: usize) -> u64 {
         let processes = self.processes.borrow();
-        let mut roles = processes[place].iter();
-        roles.find(|managed| managed.role == Role::Entry).map_or(0, |managed| managed.life)
+        let mut roles = processes[index].iter();
+        roles.find(|managed| managed.role == Role::Entry).map_or(0, |managed| managed.starts)
     }
 
-    /// Kills the processes of a box that have one of the roles.
-    pub fn kill(&self, place: usize, roles: &[Role]) {
-        self.each(place, roles, |managed| {
-            managed.wanted = false;
+    /// Kills the processes of a box that have one of `roles`.
+    pub fn kill(&self, index: usize, roles: &[Role]) {
+        self.for_each_process(index, roles, |managed| {
+            managed.should_run = false;
             if let Some(id) = managed.process.id() {
                 self.cx.sources.remove(id);
             }
@@ -164,136 +164,142 @@
         });
     }
 
-    /// Starts the processes of a box that do not run.
-    pub fn start_again(&self, place: usize) {
-        if let Err(err) = self.write_settings(place) {
-            log::error!("settings of box {place}: {err:#}");
+    /// Restarts the processes of a box that are not running.
+    pub fn start_again(&self, index: usize) {
+        if let Err(err) = self.write_settings(index) {
+            log::error!("can't write settings of box {index}: {err:#}");
         }
-        self.each(place, &BOTH, |managed| {
-            managed.wanted = true;
+        self.for_each_process(index, &ALL_ROLES, |managed| {
+            managed.should_run = true;
             if managed.process.has_ended() {
-                self.restart(place, managed);
+                self.restart(index, managed);
             }
         });
     }
 
-    /// Starts a process that has ended.
-    fn restart(&self, place: usize, managed: &mut Managed) {
-        managed.life += 1;
-        managed.asked_to_stop = false;
+    /// Restarts a process that has exited.
+    fn restart(&self, index: usize, managed: &mut ManagedProcess) {
+        managed.starts += 1;
+        managed.stop_requested = false;
         match managed.process.restart() {
-            Ok(()) => self.note_start(place, &managed.process),
-            Err(err) => log::error!("start of {}: {err:#}", managed.process.name),
+            Ok(()) => self.register(index, &managed.process),
+            Err(err) => log::error!("can't start {}: {err:#}", managed.process.name),
         }
     }
 
-    /// Lets a box stand still, or go on.
-    pub fn freeze(&self, place: usize, still: bool) {
-        self.each(place, &BOTH, |managed| match still {
+    /// Suspends or resumes the processes of a box.
+    pub fn freeze(&self, index: usize, frozen: bool) {
+        self.for_each_process(index, &ALL_ROLES, |managed| match frozen {
             true => managed.process.freeze(),
             false => managed.process.thaw(),
         });
     }
 
     /// Sends a signal to the processes of a box.
-    pub fn signal(&self, place: usize, signal: i32) {
-        self.each(place, &BOTH, |managed| managed.process.signal(signal));
+    pub fn signal(&self, index: usize, signal: i32) {
+        self.for_each_process(index, &ALL_ROLES, |managed| managed.process.signal(signal));
     }
 
-    /// Asks a box to stop, kills what has not ended when its time is over, and starts it again.
-    pub async fn stop_and_start(&self, place: usize) {
-        self.each(place, &BOTH, |managed| {
-            managed.wanted = false;
-            managed.asked_to_stop = true;
+    /// Asks the processes of a box to stop, kills those that exceed the grace period, and restarts
+    /// all.
+    pub async fn stop_and_start(&self, index: usize) {
+        self.for_each_process(index, &ALL_ROLES, |managed| {
+            managed.should_run = false;
+            managed.stop_requested = true;
             managed.process.signal(libc::SIGTERM);
         });
         let started = Instant::now();
-        while started.elapsed() < GRACE && !self.has_ended(place) {
-            compio::time::sleep(LOOK).await;
+        while started.elapsed() < STOP_GRACE && !self.have_exited(index) {
+            compio::time::sleep(POLL_INTERVAL).await;
         }
-        self.kill(place, &BOTH);
-        self.start_again(place);
+        self.kill(index, &ALL_ROLES);
+        self.start_again(index);
     }
 
-    /// Returns whether all processes of a box have ended.
-    fn has_ended(&self, place: usize) -> bool {
-        self.processes.borrow_mut()[place].iter_mut().all(|managed| managed.process.has_ended())
+    /// Returns whether all processes of a box have exited.
+    fn have_exited(&self, index: usize) -> bool {
+        self.processes.borrow_mut()[index].iter_mut().all(|managed| managed.process.has_ended())
     }
 
-    /// Empties the data folder of a box whose control process does not run.
-    pub fn lose_disk(&self, place: usize) {
-        let Some(data) = self.plans.borrow()[place].data.clone() else { return };
+    /// Deletes the data folder of a box whose control process is not running.
+    pub fn lose_disk(&self, index: usize) {
+        let Some(data) = self.plans.borrow()[index].data_folder.clone() else { return };
         if let Err(err) = std::fs::remove_dir_all(&data) {
-            log::warn!("{}: {err}", data.display());
+            log::warn!("can't delete {}: {err}", data.display());
         }
     }
 
-    /// Leaves a part of a record at the end of a box's log, whose control process does not run.
-    pub fn tear_log(&self, place: usize) {
-        let Some(data) = self.plans.borrow()[place].data.clone() else { return };
+    /// Appends a partial record to the log of a box whose control process is not running.
+    pub fn tear_log(&self, index: usize) {
+        let Some(data) = self.plans.borrow()[index].data_folder.clone() else { return };
         for file in log_files(&data) {
             let opened = std::fs::OpenOptions::new().append(true).open(&file);
-            if let Err(err) = opened.and_then(|mut f| f.write_all(&TORN)) {
-                log::warn!("{}: {err}", file.display());
+            if let Err(err) = opened.and_then(|mut f| f.write_all(&PARTIAL_RECORD)) {
+                log::warn!("can't append to {}: {err}", file.display());
             }
         }
     }
 
-    /// Lets the disk of a box take no more bytes, or take them again.
-    pub fn fill_disk(&self, place: usize, full: bool) {
-        self.each(place, &[Role::Control], |managed| {
+    /// Makes writes of a box's control process fail as on a full disk, or succeed again.
+    pub fn fill_disk(&self, index: usize, full: bool) {
+        self.for_each_process(index, &[Role::Control], |managed| {
             if let Err(err) = managed.process.bound_files(full.then_some(0)) {
-                log::warn!("{}: {err}", managed.process.name);
+                log::warn!("can't limit file sizes of {}: {err}", managed.process.name);
             }
         });
     }
 
-    /// Starts again what ended by itself, for as long as the run goes on.
+    /// Restarts processes that exit unexpectedly, until the run stops.
     pub async fn supervise(self: Rc<Self>) {
         while !self.cx.stop.is_set() {
-            compio::time::sleep(LOOK).await;
-            for place in 0..self.boxes() {
-                if self.ended_by_itself(place) {
-                    compio::time::sleep(RESTART_AFTER).await;
-                    self.restart_ended(place);
+            compio::time::sleep(POLL_INTERVAL).await;
+            for index in 0..self.boxes() {
+                if self.count_unexpected_exits(index) {
+                    compio::time::sleep(RESTART_DELAY).await;
+                    self.restart_exited(index);
                 }
             }
         }
     }
 
-    /// Counts the processes of a box that ended by themselves; returns whether any has to be
-    /// started again.
-    fn ended_by_itself(&self, place: usize) -> bool {
-        let (mut count, mut ended) = (0, false);
-        self.each(place, &BOTH, |managed| {
-            if managed.wanted && managed.process.has_ended() {
-                ended = true;
-                count += u64::from(!managed.asked_to_stop);
+    /// Counts the unexpected exits of a box's processes. Returns whether any process has to be
+    /// restarted.
+    fn count_unexpected_exits(&self, index: usize) -> bool {
+        let (mut count, mut exited) = (0, false);
+        self.for_each_process(index, &ALL_ROLES, |managed| {
+            if managed.should_run && managed.process.has_ended() {
+                exited = true;
+                count += u64::from(!managed.stop_requested);
             }
         });
-        let own_ends = &self.cx.record.own_ends;
-        own_ends.set(own_ends.get() + count);
-        ended
+        let unexpected_exits = &self.cx.record.unexpected_exits;
+        unexpected_exits.set(unexpected_exits.get() + count);
+        exited
     }
 
-    /// Starts the processes of a box that ended by themselves.
-    fn restart_ended(&self, place: usize) {
-        self.each(place, &BOTH, |managed| {
-            if managed.wanted && managed.process.has_ended() {
-                self.restart(place, managed);
+    /// Restarts the processes of a box that should be running but have exited.
+    fn restart_exited(&self, index: usize) {
+        self.for_each_process(index, &ALL_ROLES, |managed| {
+            if managed.should_run && managed.process.has_ended() {
+                self.restart(index, managed);
             }
         });
     }
 
-    /// Acts on the processes of a box that have one of the roles.
-    fn each(&self, place: usize, roles: &[Role], mut act: impl FnMut(&mut Managed)) {
+    /// Applies `act` to the processes of a box that have one of `roles`.
+    fn for_each_process(
+        &self,
+        index: usize,
+        roles: &[Role],
+        mut act: impl FnMut(&mut ManagedProcess),
+    ) {
         let mut processes = self.processes.borrow_mut();
-        let Some(of_box) = processes.get_mut(place) else { return };
-        of_box.iter_mut().filter(|managed| roles.contains(&managed.role)).for_each(&mut act);
+        let Some(box_processes) = processes.get_mut(index) else { return };
+        box_processes.iter_mut().filter(|managed| roles.contains(&managed.role)).for_each(&mut act);
     }
 }
 
-/// Returns the files that hold a box's log.
+/// Returns the log files in a data folder.
 fn log_files(data: &Path) -> Vec<PathBuf> {
     let Ok(entries) = std::fs::read_dir(data) else { return Vec::new() };
     let is_log = |path: &PathBuf| {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,15 +1,15 @@
-//! A randomized fault soak: real processes, faults from outside, promises checked from outside.
+//! Randomized fault injection for a small fleet of real processes.
 //!
-//! The tests of the duties bring about the failures that their authors thought
-//! of. This crate looks for the others: it starts a small fleet on loopback,
-//! puts a proxy before every listener, and lets a schedule drawn from a seed
-//! kill, freeze, stop, cut off and damage what it can reach. Meanwhile callers,
-//! upstreams and an operator note what they see, and [`verify`] compares that
-//! with what is promised. It knows no wire: an adapter gives a [`wire::Wire`].
+//! Other tests inject the failures that their authors anticipated. This crate searches for the
+//! rest: it starts a small fleet on loopback, puts a proxy in front of every listener, and follows
+//! a schedule of faults that is drawn from a seed. Faults kill, suspend, stop, partition and damage
+//! boxes and upstreams. Callers, upstreams and an operator record what they observe, and [`verify`]
+//! checks the records against the guarantees of the system. The protocol of the programs under test
+//! is supplied by an adapter as a [`wire::Wire`].
 //!
-//! A run has rounds of two parts. In a storm, faults overlap. Then everything
-//! is mended, the fleet has to serve again, and in a calm part only planned work
-//! goes on, in which no request may be broken off.
+//! A run consists of rounds with two phases. In the storm phase, faults overlap. Then all faults
+//! are repaired and the fleet has to serve again. In the calm phase only maintenance takes place,
+//! which must not interrupt any request.
 
 pub mod callers;
 pub mod condition;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,66 +1,67 @@
-//! How the boxes of a run are set up: addresses, ports, failure domains and folders.
+//! Layout of the boxes of a run: addresses, ports, failure domains and folders.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
 
 use anyhow::Context as _;
 
-use crate::schedule::Shape;
+use crate::schedule::FleetSize;
 use crate::wire::{BoxPlan, Ports};
 
-/// Failure domains, to which boxes and upstreams go in turn.
+/// Failure domains, assigned to boxes and to upstreams in rotation.
 pub const DOMAINS: [&str; 3] = ["domain-a", "domain-b", "domain-c"];
-/// Last part of the address of the first box that everybody uses.
-const FIRST_IP: u8 = 10;
-/// Last part of the address at which the processes of the first box listen.
-const FIRST_LISTEN_IP: u8 = 110;
-/// Ports of a box: as many as [`Ports`] holds.
-const PORTS: u16 = 8;
+/// Last octet of the proxy address of the first box.
+const FIRST_PROXY_OCTET: u8 = 10;
+/// Last octet of the listen address of the first box.
+const FIRST_LISTEN_OCTET: u8 = 110;
+/// Number of ports of a box, as many as [`Ports`] holds.
+const PORT_COUNT: u16 = 8;
 
-/// Plans the boxes of a fleet, whose addresses begin with `net` and whose data goes to `folder`.
+/// Lays out the boxes of a fleet with addresses in `net` and data folders below `folder`.
 ///
 /// # Errors
 ///
 /// Returns an error if no port can be bound.
-pub fn plan_boxes(folder: &Path, net: [u8; 3], shape: Shape) -> anyhow::Result<Vec<BoxPlan>> {
-    let ips: Vec<Ipv4Addr> = (0..shape.boxes).map(|place| ip(net, FIRST_IP, place)).collect();
+pub fn plan_boxes(folder: &Path, net: [u8; 3], size: FleetSize) -> anyhow::Result<Vec<BoxPlan>> {
+    let ips: Vec<Ipv4Addr> =
+        (0..size.boxes).map(|index| ip(net, FIRST_PROXY_OCTET, index)).collect();
     let listen_ips: Vec<Ipv4Addr> =
-        (0..shape.boxes).map(|place| ip(net, FIRST_LISTEN_IP, place)).collect();
+        (0..size.boxes).map(|index| ip(net, FIRST_LISTEN_OCTET, index)).collect();
     let ports = free_ports(&[ips.as_slice(), &listen_ips].concat())?;
-    let seed = |place| SocketAddr::from((ip(net, FIRST_IP, place), ports.control));
-    let seeds: Vec<SocketAddr> = (0..shape.core).map(seed).collect();
-    let plan = |place: usize| BoxPlan {
-        domain: DOMAINS[place % DOMAINS.len()].to_owned(),
-        ip: ips[place],
-        listen_ip: listen_ips[place],
+    let seed = |index| SocketAddr::from((ip(net, FIRST_PROXY_OCTET, index), ports.control));
+    let seeds: Vec<SocketAddr> = (0..size.log_boxes).map(seed).collect();
+    let plan_box = |index: usize| BoxPlan {
+        failure_domain: DOMAINS[index % DOMAINS.len()].to_owned(),
+        ip: ips[index],
+        listen_ip: listen_ips[index],
         ports,
-        control: shape.control_boxes().contains(&place),
-        data: (place < shape.core).then(|| folder.join(format!("data-{place}"))),
+        has_control: size.control_boxes().contains(&index),
+        data_folder: (index < size.log_boxes).then(|| folder.join(format!("data-{index}"))),
         first_start: true,
         seeds: seeds.clone(),
     };
-    Ok((0..shape.boxes).map(plan).collect())
+    Ok((0..size.boxes).map(plan_box).collect())
 }
 
-/// Returns the address of a box, that of the first one ending with `first`.
-fn ip([a, b, c]: [u8; 3], first: u8, place: usize) -> Ipv4Addr {
-    let place = u8::try_from(place).unwrap_or(u8::MAX);
-    Ipv4Addr::new(a, b, c, first.saturating_add(place))
+/// Returns the address in `net` of the box at `index`, where `first` is the last octet of box 0.
+fn ip([a, b, c]: [u8; 3], first: u8, index: usize) -> Ipv4Addr {
+    let index = u8::try_from(index).unwrap_or(u8::MAX);
+    Ipv4Addr::new(a, b, c, first.saturating_add(index))
 }
 
-/// Finds ports in a row that are free at every address, the kernel naming the first.
+/// Finds consecutive ports that are free at every address. The kernel assigns the first one.
 fn free_ports(ips: &[Ipv4Addr]) -> anyhow::Result<Ports> {
-    let at = ips.first().context("no address")?;
+    let ip = ips.first().context("no address")?;
     loop {
-        let first = TcpListener::bind((*at, 0))?.local_addr()?.port();
-        let row: Vec<u16> = (first..first.saturating_add(PORTS)).collect();
+        let first = TcpListener::bind((*ip, 0))?.local_addr()?.port();
+        let candidates: Vec<u16> = (first..first.saturating_add(PORT_COUNT)).collect();
         let free = |port: &u16| ips.iter().all(|ip| TcpListener::bind((*ip, *port)).is_ok());
-        if !row.iter().all(free) {
+        if !candidates.iter().all(free) {
             continue;
         }
-        // The row is shorter if it would pass the last port.
+        // Fewer ports remain if the range would pass port 65535.
         if let &[boxes, last_boxes, entry, control_own, front, ready, directory, control] =
-            row.as_slice()
+            candidates.as_slice()
         {
             return Ok(Ports {
                 boxes: [boxes, last_boxes],
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy before one listener, through which everything that is sent to it passes.
+//! A TCP proxy in front of one listener, which applies the link conditions to all traffic.
 
 use std::cell::Cell;
 use std::net::{Shutdown, SocketAddr};
@@ -15,28 +15,29 @@
 use crate::condition::{Condition, Party};
 use crate::context::RunCx;
 
-/// Bytes that are read at once.
-const PIECE: usize = 16 * 1024;
-/// Time between two looks at a link that is not clear, and at resets.
-const LOOK: Duration = Duration::from_millis(10);
-/// Time for a broken connection to end.
-const BREAK_LIMIT: Duration = Duration::from_secs(1);
+/// Size of a read, in bytes.
+const READ_SIZE: usize = 16 * 1024;
+/// Interval at which blocked links and resets are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time limit for the relay tasks to end after a connection was reset.
+const RESET_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A proxy before one listener.
+/// A proxy in front of one listener.
 #[derive(Debug, Clone, Copy)]
 pub struct Proxy {
-    /// Where it takes connections.
+    /// Address at which the proxy accepts connections.
     pub addr: SocketAddr,
-    /// Where it passes them on to.
+    /// Address to which it forwards them.
     pub target: SocketAddr,
-    /// Whom the target belongs to.
+    /// Owner of the target.
     pub party: Party,
-    /// Whether the box that opened a connection is looked up.
-    pub by_box: bool,
+    /// Whether to look up the box that opened a connection. Otherwise [`Party::Outside`] is
+    /// assumed.
+    pub identifies_box: bool,
 }
 
 impl Proxy {
-    /// Passes connections on until the run ends.
+    /// Forwards connections until the run stops.
     ///
     /// # Errors
     ///
@@ -52,15 +53,15 @@
         Ok(())
     }
 
-    /// Accepts connections and passes each on.
+    /// Accepts connections and forwards each one.
     async fn accept(self, cx: Rc<RunCx>, listener: TcpListener) {
         let target = self.target;
         loop {
             let (stream, peer) = match listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(err) => {
-                    log::warn!("proxy to {target}: {err}");
-                    compio::time::sleep(LOOK).await;
+                    log::warn!("proxy to {target}: accept failed: {err}");
+                    compio::time::sleep(POLL_INTERVAL).await;
                     continue;
                 }
             };
@@ -68,70 +69,72 @@
                 reset(&stream);
                 continue;
             }
-            let passing = Passing {
+            let connection = ProxiedConnection {
                 cx: cx.clone(),
                 party: self.party,
                 peer,
-                source: Cell::new((!self.by_box).then_some(Party::Outside)),
+                source: Cell::new((!self.identifies_box).then_some(Party::Outside)),
                 broken: Cell::new(false),
             };
-            compio::runtime::spawn(async move { passing.run(stream, target).await }).detach();
+            compio::runtime::spawn(async move { connection.run(stream, target).await }).detach();
         }
     }
 }
 
-/// One connection that is passed on.
-struct Passing {
+/// One connection that is forwarded.
+struct ProxiedConnection {
     cx: Rc<RunCx>,
-    /// To whom it goes.
+    /// Owner of the target.
     party: Party,
-    /// Where it comes from.
+    /// Peer address of the accepted connection.
     peer: SocketAddr,
-    /// Who opened it, once that was asked for.
+    /// Party that opened the connection, once it was looked up.
     source: Cell<Option<Party>>,
     broken: Cell<bool>,
 }
 
-/// Which way bytes go.
+/// Direction in which bytes flow.
 #[derive(Clone, Copy)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    Forward,
+    Backward,
 }
 
-impl Passing {
-    /// Passes bytes on until the connection ends or is reset.
-    async fn run(&self, near: TcpStream, target: SocketAddr) {
+impl ProxiedConnection {
+    /// Forwards bytes until the connection ends or is reset.
+    async fn run(&self, client: TcpStream, target: SocketAddr) {
         let resets = self.cx.links.resets(self.party);
-        // The bytes that open a connection are held as others are.
-        self.wait_clear(Way::There).await;
-        let Ok(far) = TcpStream::connect(target).await else { return reset(&near) };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let there = self.pump(near.clone(), far.clone(), Way::There);
-        let back = self.pump(far.clone(), near.clone(), Way::Back);
-        let watched = Box::pin(async {
+        // Connection setup is delayed or held like any other traffic.
+        self.wait_until_clear(Direction::Forward).await;
+        let Ok(server) = TcpStream::connect(target).await else { return reset(&client) };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let forward = self.relay(client.clone(), server.clone(), Direction::Forward);
+        let backward = self.relay(server.clone(), client.clone(), Direction::Backward);
+        let interrupted = Box::pin(async {
             let is_reset = || self.cx.links.resets(self.party) != resets;
             while !self.broken.get() && !is_reset() && !self.cx.stop.is_set() {
-                compio::time::sleep(LOOK).await;
+                compio::time::sleep(POLL_INTERVAL).await;
             }
         });
-        if let Either::Right(((), passing)) = select(Box::pin(join(there, back)), watched).await {
+        if let Either::Right(((), relaying)) =
+            select(Box::pin(join(forward, backward)), interrupted).await
+        {
             self.broken.set(true);
-            reset(&near);
-            reset(&far);
-            // Reads end now; a write may still wait for a peer that does not read.
-            let _ = compio::time::timeout(BREAK_LIMIT, passing).await;
+            reset(&client);
+            reset(&server);
+            // Pending reads end now, but a write may still wait for a peer that does not read.
+            let _ = compio::time::timeout(RESET_TIMEOUT, relaying).await;
         }
     }
 
-    /// Moves bytes one way, as the link lets them, until the sender ends or the connection is
-    /// broken.
-    async fn pump(&self, mut from: TcpStream, mut to: TcpStream, way: Way) {
-        let mut buf = Vec::with_capacity(PIECE);
+    /// Relays bytes in one direction, subject to the link condition, until the sender closes or the
+    /// connection breaks.
+    async fn relay(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction) {
+        let mut buf = Vec::with_capacity(READ_SIZE);
         loop {
             buf.clear();
-            let BufResult(read, piece) = from.read(buf).await;
-            self.wait_clear(way).await;
+            let BufResult(read, bytes) = from.read(buf).await;
+            self.wait_until_clear(direction).await;
             if self.broken.get() {
                 return;
             }
@@ -140,7 +143,7 @@
                     let _ = to.shutdown().await;
                     return;
                 }
-                Ok(_) => to.write_all(piece).await,
+                Ok(_) => to.write_all(bytes).await,
                 Err(_) => return self.broken.set(true),
             };
             buf = written.1;
@@ -150,18 +153,18 @@
         }
     }
 
-    /// Waits as long as the link holds bytes that go this way.
-    async fn wait_clear(&self, way: Way) {
-        if let Condition::Delayed(time) = self.condition(way) {
+    /// Applies the delay of the link, or waits while it is blocked.
+    async fn wait_until_clear(&self, direction: Direction) {
+        if let Condition::Delayed(time) = self.condition(direction) {
             compio::time::sleep(time).await;
         }
-        while self.condition(way) == Condition::Silent && !self.cx.stop.is_set() {
-            compio::time::sleep(LOOK).await;
+        while self.condition(direction) == Condition::Blocked && !self.cx.stop.is_set() {
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Returns what the link does to bytes that go this way.
-    fn condition(&self, way: Way) -> Condition {
+    /// Returns the condition of the link in this direction.
+    fn condition(&self, direction: Direction) -> Condition {
         if self.cx.links.all_clear() {
             return Condition::Clear;
         }
@@ -171,20 +174,20 @@
             self.source.set(Some(source));
             source
         });
-        match way {
-            Way::There => self.cx.links.get(source, self.party),
-            Way::Back => self.cx.links.get(self.party, source),
+        match direction {
+            Direction::Forward => self.cx.links.get(source, self.party),
+            Direction::Backward => self.cx.links.get(self.party, source),
         }
     }
 }
 
-/// Has a connection end with a reset once it is dropped, and ends the reads from it.
+/// Makes the connection end with a TCP reset once it is dropped, and ends pending reads.
 fn reset(stream: &TcpStream) {
     if let Err(err) = stream.set_zero_linger() {
-        log::debug!("proxy: no reset: {err}");
+        log::debug!("proxy: can't set zero linger: {err}");
     }
-    // A read that is only dropped keeps the socket open in the runtime.
+    // Dropping a pending read is not enough: the runtime would keep the socket open.
     if let Err(err) = socket2::SockRef::from(stream).shutdown(Shutdown::Read) {
-        log::debug!("proxy: reads do not end: {err}");
+        log::debug!("proxy: can't shut down reads: {err}");
     }
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,217 +1,217 @@
-//! What callers, upstreams and the operator of a run saw, in one order.
+//! Observations of callers, upstreams and the operator during a run, in one total order.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A caller's id of one request.
+/// Request id chosen by a caller.
 pub type RequestId = String;
-/// Id of an upstream's life.
-pub type LifeId = String;
-/// Place of something in the order of a run.
-pub type Moment = u64;
+/// Id of an upstream instance, unique across restarts.
+pub type InstanceId = String;
+/// Position of an event in the total order of a run.
+pub type LogicalTime = u64;
 
-/// What a caller asks for.
+/// Kind of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A call that may run more than once.
     Repeatable,
-    /// A call that may run once.
+    /// A call that must run at most once.
     Once,
-    /// A stream of events, which may run once.
+    /// A stream of events, which must run at most once.
     Stream,
-    /// A repeatable call on a route that only the configuration of this number has.
+    /// A repeatable call on a route that exists only in the configuration with this number.
     Marker(u64),
 }
 
-/// How a caller's request ended.
+/// Outcome of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
-    /// It is still open.
+pub enum Outcome {
+    /// The request is still open.
     Open,
-    /// With its own whole answer.
+    /// The caller received its own complete answer.
     Answered,
-    /// With something that no caller may get.
+    /// The caller received content that violates a guarantee.
     Wrong(String),
-    /// With the word that it was not run.
+    /// The request was refused, with the guarantee that it was not run.
     Refused,
-    /// With another failure.
+    /// Another failure, with its HTTP status.
     Failed(u16),
-    /// Without an answer, or with one that visibly breaks off.
+    /// The connection broke before the answer was complete.
     Broken(String),
-    /// No connection came to be.
+    /// No connection could be established.
     NotConnected,
-    /// The caller left.
+    /// The caller closed the connection early.
     Left,
-    /// Nothing came for as long as the caller waits.
+    /// The caller timed out.
     Unanswered,
 }
 
 /// A caller's request.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What it asks for.
-    pub kind: Kind,
-    /// Box and start of its entry process that it was sent to.
+    /// Kind of the request.
+    pub kind: RequestKind,
+    /// Box that received the request, and the start count of its entry process.
     pub sent_to: (usize, u64),
-    /// When it was sent.
-    pub sent: Moment,
-    /// When it ended.
-    pub ended: Moment,
-    /// How it ended.
-    pub end: End,
-    /// The calm part in which all of it lies, if one does.
+    /// When the request was sent.
+    pub sent_at: LogicalTime,
+    /// When the request ended.
+    pub ended_at: LogicalTime,
+    /// Outcome of the request.
+    pub outcome: Outcome,
+    /// Calm phase that contains the whole request, if any.
     pub calm: Option<u32>,
 }
 
-/// A run that an upstream began.
+/// Start of a run at an upstream.
 #[derive(Debug, Clone)]
-pub struct Begun {
-    /// The request.
+pub struct RunStart {
+    /// Id of the request.
     pub id: RequestId,
-    /// The upstream's life.
-    pub life: LifeId,
-    /// Whether it went on from a copy.
+    /// Upstream instance.
+    pub instance: InstanceId,
+    /// Whether the run continues from a copy.
     pub resumed: bool,
-    /// Whether the run that it goes on from had not stopped.
-    pub beside_another: bool,
+    /// Whether the copied run was still active when this run started.
+    pub concurrent: bool,
 }
 
-/// A request that reached an upstream which names a limit.
+/// A request that arrived at an upstream while it announced a rate limit.
 #[derive(Debug, Clone)]
-pub struct LimitedWork {
-    /// The upstream's life.
-    pub life: LifeId,
-    /// The limit, in requests a second.
+pub struct LimitedRequest {
+    /// Upstream instance.
+    pub instance: InstanceId,
+    /// The rate limit, in requests per second.
     pub per_second: f64,
-    /// When it came.
+    /// Arrival time.
     pub at: Instant,
-    /// The calm part in which it came, if it did.
+    /// Calm phase in which the request arrived, if any.
     pub calm: Option<u32>,
 }
 
-/// A request that an upstream turned away, asking for rest.
+/// A request that an upstream rejected, asking for a rest before the next one.
 #[derive(Debug, Clone)]
-pub struct RestedWork {
-    /// The upstream's life.
-    pub life: LifeId,
-    /// The rest that it asked for.
+pub struct RejectedRequest {
+    /// Upstream instance.
+    pub instance: InstanceId,
+    /// The rest that the upstream asked for.
     pub rest: Duration,
-    /// When it came.
+    /// Arrival time.
     pub at: Instant,
-    /// The calm part in which it came, if it did.
+    /// Calm phase in which the request arrived, if any.
     pub calm: Option<u32>,
 }
 
-/// What the operator saw of configurations.
+/// A configuration event observed by the operator.
 #[derive(Debug, Clone)]
-pub enum ConfigSeen {
-    /// One was acknowledged.
+pub enum ConfigEvent {
+    /// A configuration was acknowledged.
     Acknowledged {
-        /// Its number.
+        /// Number of the configuration.
         number: u64,
-        /// When the answer came.
-        at: Moment,
+        /// When the acknowledgement arrived.
+        at: LogicalTime,
     },
-    /// A read was answered.
+    /// A read returned a configuration.
     Read {
-        /// Its number.
+        /// Number of the configuration, or 0 if it was never sent.
         number: u64,
-        /// What it held.
+        /// Text of the configuration.
         text: String,
-        /// When it was asked for.
-        asked: Moment,
+        /// When the read was sent.
+        asked_at: LogicalTime,
     },
 }
 
-/// All that was seen.
+/// All observations of a run.
 #[derive(Debug, Default)]
 pub struct Record {
-    moment: Cell<Moment>,
+    clock: Cell<LogicalTime>,
     calm: Cell<Option<u32>>,
-    /// Callers' requests.
+    /// Requests of callers.
     pub calls: RefCell<BTreeMap<RequestId, Call>>,
-    /// Runs at upstreams.
-    pub runs: RefCell<Vec<Begun>>,
-    /// Configurations.
-    pub configs: RefCell<Vec<ConfigSeen>>,
-    /// Work that reached an upstream long after its leaving was acknowledged.
-    pub late_work: RefCell<Vec<String>>,
-    /// Requests that reached upstreams which name limits, in order.
-    pub limited: RefCell<Vec<LimitedWork>>,
-    /// Requests that upstreams turned away which ask for rest, in order.
-    pub rested: RefCell<Vec<RestedWork>>,
-    /// Boxes that send requests.
+    /// Runs started at upstreams, in order.
+    pub runs: RefCell<Vec<RunStart>>,
+    /// Configuration events, in order.
+    pub configs: RefCell<Vec<ConfigEvent>>,
+    /// Descriptions of requests that arrived long after the upstream's leaving was acknowledged.
+    pub late_requests: RefCell<Vec<String>>,
+    /// Requests that arrived at upstreams with a rate limit, in order.
+    pub limited: RefCell<Vec<LimitedRequest>>,
+    /// Requests that resting upstreams rejected, in order.
+    pub rejected: RefCell<Vec<RejectedRequest>>,
+    /// Number of boxes that send requests to upstreams.
     pub boxes: Cell<usize>,
-    /// Processes that ended by themselves.
-    pub own_ends: Cell<u64>,
+    /// Number of processes that exited unexpectedly.
+    pub unexpected_exits: Cell<u64>,
 }
 
 impl Record {
-    /// Returns the next place in the order.
-    pub fn tick(&self) -> Moment {
-        self.moment.set(self.moment.get() + 1);
-        self.moment.get()
+    /// Advances the logical clock and returns the new time.
+    pub fn tick(&self) -> LogicalTime {
+        self.clock.set(self.clock.get() + 1);
+        self.clock.get()
     }
 
-    /// Begins or ends a calm part.
+    /// Sets the current calm phase, or `None` outside of calm phases.
     pub fn set_calm(&self, part: Option<u32>) {
         self.calm.set(part);
     }
 
-    /// Returns the calm part that goes on.
+    /// Returns the current calm phase, if any.
     pub fn calm(&self) -> Option<u32> {
         self.calm.get()
     }
 
-    /// Notes that a request is sent.
-    pub fn begin(&self, id: &str, kind: Kind, sent_to: (usize, u64)) {
-        let sent = self.tick();
+    /// Records that a request is sent.
+    pub fn begin(&self, id: &str, kind: RequestKind, sent_to: (usize, u64)) {
+        let sent_at = self.tick();
         let calm = self.calm.get();
-        let call = Call { kind, sent_to, sent, ended: sent, end: End::Open, calm };
+        let call = Call { kind, sent_to, sent_at, ended_at: sent_at, outcome: Outcome::Open, calm };
         self.calls.borrow_mut().insert(id.to_owned(), call);
     }
 
-    /// Notes how a request ended.
-    pub fn end(&self, id: &str, end: End) {
+    /// Records the outcome of a request.
+    pub fn finish(&self, id: &str, outcome: Outcome) {
         let now = self.tick();
         if let Some(call) = self.calls.borrow_mut().get_mut(id) {
-            call.ended = now;
-            call.end = end;
+            call.ended_at = now;
+            call.outcome = outcome;
             if call.calm != self.calm.get() {
                 call.calm = None;
             }
         }
     }
 
-    /// Returns the highest number that was acknowledged before a moment.
-    pub fn acknowledged_before(&self, moment: Moment) -> u64 {
+    /// Returns the highest configuration number acknowledged before `time`, or 0.
+    pub fn acknowledged_before(&self, time: LogicalTime) -> u64 {
         let configs = self.configs.borrow();
-        let numbers = configs.iter().filter_map(|seen| match seen {
-            ConfigSeen::Acknowledged { number, at } if *at < moment => Some(*number),
+        let numbers = configs.iter().filter_map(|event| match event {
+            ConfigEvent::Acknowledged { number, at } if *at < time => Some(*number),
             _ => None,
         });
         numbers.max().unwrap_or(0)
     }
 
-    /// Returns how many requests got their answer.
+    /// Returns the number of requests that were answered.
     pub fn answered(&self) -> usize {
-        self.calls.borrow().values().filter(|call| call.end == End::Answered).count()
+        self.calls.borrow().values().filter(|call| call.outcome == Outcome::Answered).count()
     }
 
-    /// Returns how many requests ended in each way.
-    pub fn counts(&self) -> BTreeMap<&'static str, usize> {
+    /// Returns the number of requests per outcome.
+    pub fn outcome_counts(&self) -> BTreeMap<&'static str, usize> {
         let mut counts = BTreeMap::new();
         for call in self.calls.borrow().values() {
-            *counts.entry(call.end.word()).or_default() += 1;
+            *counts.entry(call.outcome.label()).or_default() += 1;
         }
         counts
     }
 }
 
-impl End {
-    /// Returns a word for counts.
-    pub fn word(&self) -> &'static str {
+impl Outcome {
+    /// Returns the label under which the outcome is counted.
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Open => "open",
             Self::Answered => "answered",
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: storms, mending, calm parts, and the verdict.
+//! One run: storm phases, repairs, calm phases and verification.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,94 +14,94 @@
 use crate::callers::{Caller, CallerCx};
 use crate::condition::Links;
 use crate::context::RunCx;
-use crate::faults::Faults;
+use crate::faults::FaultInjector;
 use crate::fleet::Fleet;
 use crate::operator::OperatorCx;
 use crate::plan::plan_boxes;
 use crate::record::Record;
-use crate::schedule::{self, Shape, Step};
+use crate::schedule::{self, FleetSize, ScheduledFault};
 use crate::sources::Sources;
 use crate::upstreams::{Pool, PoolPlan};
-use crate::verify::{Broken, verify};
+use crate::verify::{Violation, verify};
 use crate::wire::Wire;
 
-/// Time in which a mended fleet has to serve again. Machines that run tests may be busy.
-const MEND_PATIENCE: Duration = Duration::from_secs(60);
-/// Time between looks at what is waited for.
-const LOOK: Duration = Duration::from_millis(50);
-/// Time for a look at one box.
-const LOOK_LIMIT: Duration = Duration::from_secs(1);
-/// Time after the last part in which open requests end.
-const END_PATIENCE: Duration = Duration::from_secs(10);
-/// Last parts of the addresses of upstreams: of their proxies, and where they listen.
-const UPSTREAM_IPS: [u8; 2] = [200, 201];
-/// Boxes that hold the log: three bear the loss of one disk.
-const CORE: usize = 3;
+/// Time limit for a repaired fleet to serve again; long, because test machines may be busy.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which readiness is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time limit for one readiness check of a box.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after the last phase in which open requests may complete.
+const DRAIN_TIME: Duration = Duration::from_secs(10);
+/// Last octets of the upstreams' proxy address and listen address.
+const UPSTREAM_OCTETS: [u8; 2] = [200, 201];
+/// Number of boxes that hold the log. Three of them survive the loss of one disk.
+const LOG_BOXES: usize = 3;
 
-/// What a run is like.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Where chance starts.
+    /// Seed of the random schedule.
     pub seed: u64,
-    /// Boxes, of which the first three hold the log.
+    /// Number of boxes; the first three hold the log.
     pub boxes: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Plain upstreams.
+    /// Number of plain upstreams.
     pub plain: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Rounds of a storm and a calm part.
+    /// Number of rounds, each with a storm phase and a calm phase.
     pub rounds: u32,
-    /// Length of a storm.
+    /// Length of a storm phase.
     pub storm: Duration,
-    /// Length of a calm part.
+    /// Length of a calm phase.
     pub calm: Duration,
-    /// Whether work that comes to leaving upstreams too late is a broken promise: it depends on
-    /// the speed of the machine.
-    pub timed: bool,
-    /// Whether upstreams name limits, from the start of a storm to the end of its calm part.
+    /// Whether late requests at leaving upstreams count as violations. This check depends on the
+    /// speed of the machine.
+    pub check_late_requests: bool,
+    /// Whether upstreams announce rate limits for the duration of a round.
     pub limits: bool,
-    /// Whether upstreams turn requests away and ask for rest, as long as that.
+    /// Whether upstreams reject requests and ask for a rest for the duration of a round.
     pub rests: bool,
-    /// Where settings, data and logs go.
+    /// Folder for settings, data and logs.
     pub folder: PathBuf,
 }
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// Promises that were not kept.
-    pub broken: Vec<Broken>,
-    /// Requests by how they ended.
-    pub ends: BTreeMap<&'static str, usize>,
-    /// Configurations acknowledged and read.
+    /// Guarantees that were violated.
+    pub violations: Vec<Violation>,
+    /// Number of requests per outcome.
+    pub outcomes: BTreeMap<&'static str, usize>,
+    /// Number of configuration events, acknowledged or read.
     pub configs: usize,
-    /// Processes that ended by themselves.
-    pub own_ends: u64,
-    /// What was done, in order.
-    pub done: Vec<String>,
+    /// Number of processes that exited unexpectedly.
+    pub unexpected_exits: u64,
+    /// Actions of the run, in order.
+    pub actions: Vec<String>,
 }
 
-/// A run that goes on.
+/// A run in progress.
 struct Soak {
     opts: Options,
     cx: Rc<RunCx>,
-    shape: Shape,
+    size: FleetSize,
     fleet: Rc<Fleet>,
-    faults: Faults,
+    injector: FaultInjector,
     operator: Rc<OperatorCx>,
-    done: RefCell<Vec<String>>,
+    actions: RefCell<Vec<String>>,
 }
 
-/// Carries out one run.
+/// Performs one run.
 ///
 /// # Errors
 ///
 /// Returns an error if the fleet can't be started.
 pub async fn run(wire: Wire, opts: Options) -> anyhow::Result<Report> {
-    // SAFETY: no handler is installed. Processes started from here inherit that the signal is
-    // ignored, so that a write beyond a bound fails as on a full disk.
+    // SAFETY: no handler is installed. Child processes inherit the ignored signal, so a write
+    // beyond the file size limit fails as on a full disk.
     unsafe { libc::signal(libc::SIGXFSZ, libc::SIG_IGN) };
     let (handle, stop) = stop_pair();
     let cx = Rc::new(RunCx {
@@ -111,11 +111,11 @@
         record: Record::default(),
         stop,
     });
-    ensure!(opts.boxes >= CORE, "{} boxes: expected {CORE} or more", opts.boxes);
+    ensure!(opts.boxes >= LOG_BOXES, "{} boxes: expected {LOG_BOXES} or more", opts.boxes);
     let soak = Soak::start(cx, opts).await?;
     soak.operator.put(1, 0).await;
-    soak.serves_again().await.context("the first start")?;
-    soak.begin_callers();
+    soak.wait_until_serving().await.context("first start")?;
+    soak.start_clients();
     let mut rounds = Ok(());
     for round in 0..soak.opts.rounds {
         rounds = soak.round(round).await.with_context(|| format!("round {round}"));
@@ -124,7 +124,7 @@
         }
     }
     drop(handle);
-    compio::time::sleep(END_PATIENCE).await;
+    compio::time::sleep(DRAIN_TIME).await;
     Ok(soak.report(rounds))
 }
 
@@ -132,160 +132,170 @@
     async fn start(cx: Rc<RunCx>, opts: Options) -> anyhow::Result<Self> {
         cx.record.boxes.set(opts.boxes);
         let upstreams = opts.engines + opts.plain;
-        let shape = Shape { boxes: opts.boxes, core: CORE, upstreams };
-        let net = net_of(opts.seed);
-        let plans = plan_boxes(&opts.folder, net, shape)?;
+        let size = FleetSize { boxes: opts.boxes, log_boxes: LOG_BOXES, upstreams };
+        let net = loopback_net(opts.seed);
+        let plans = plan_boxes(&opts.folder, net, size)?;
         let fleet = Fleet::start(cx.clone(), &opts.folder, plans).await?;
         let control: Vec<SocketAddr> =
-            shape.control_boxes().map(|place| fleet.addr(place, |ports| ports.control)).collect();
-        let [ip, listen_ip] = UPSTREAM_IPS.map(|last| Ipv4Addr::new(net[0], net[1], net[2], last));
+            size.control_boxes().map(|index| fleet.addr(index, |ports| ports.control)).collect();
+        let [ip, listen_ip] =
+            UPSTREAM_OCTETS.map(|last| Ipv4Addr::new(net[0], net[1], net[2], last));
         let plan = PoolPlan {
             engines: opts.engines,
             plain: opts.plain,
             ip,
             listen_ip,
             control: control.clone(),
-            notes_late_work: opts.timed,
+            records_late_requests: opts.check_late_requests,
         };
         let pool = Pool::start(cx.clone(), plan).await?;
         let operator = Rc::new(OperatorCx {
             run: cx.clone(),
             control,
             newest: Rc::new(Cell::new(1)),
-            texts: RefCell::default(),
+            sent_texts: RefCell::default(),
             refused: RefCell::default(),
         });
         compio::runtime::spawn(fleet.clone().supervise()).detach();
-        let faults = Faults { cx: cx.clone(), shape, fleet: fleet.clone(), pool };
-        Ok(Self { opts, cx, shape, fleet, faults, operator, done: RefCell::default() })
+        let injector = FaultInjector { cx: cx.clone(), size, fleet: fleet.clone(), pool };
+        Ok(Self { opts, cx, size, fleet, injector, operator, actions: RefCell::default() })
     }
 
-    /// Begins the callers and the operator's tasks.
-    fn begin_callers(&self) {
+    /// Starts the callers and the operator's tasks.
+    fn start_clients(&self) {
         let cx = Rc::new(CallerCx {
             run: self.cx.clone(),
             fleet: self.fleet.clone(),
             newest_config: self.operator.newest.clone(),
-            sent: Cell::new(0),
+            request_count: Cell::new(0),
         });
         for caller in 0..self.opts.callers {
             let seed = self.opts.seed.wrapping_mul(1_000) + caller as u64;
             compio::runtime::spawn(Caller::new(cx.clone(), seed).run()).detach();
         }
-        compio::runtime::spawn(self.operator.clone().change(self.opts.seed)).detach();
-        compio::runtime::spawn(self.operator.clone().read_all(self.opts.seed + 1)).detach();
+        compio::runtime::spawn(self.operator.clone().change_repeatedly(self.opts.seed)).detach();
+        compio::runtime::spawn(self.operator.clone().read_repeatedly(self.opts.seed + 1)).detach();
     }
 
-    /// Plays a storm, mends, and plays a calm part.
+    /// Runs a storm phase, repairs all faults and runs a calm phase.
     async fn round(&self, round: u32) -> anyhow::Result<()> {
         let seed = self.opts.seed.wrapping_mul(100) + u64::from(round);
-        let limits = if self.opts.limits { schedule::limits(seed, self.shape) } else { Vec::new() };
-        for (at, per_second) in &limits {
-            self.note(format!("upstream {at} names a limit of {per_second}"));
-            self.faults.pool.limit(*at, Some(*per_second));
+        let limits = if self.opts.limits { schedule::limits(seed, self.size) } else { Vec::new() };
+        for (index, per_second) in &limits {
+            self.log_action(format!(
+                "upstream {index} announces a limit of {per_second} requests/s"
+            ));
+            self.injector.pool.set_limit(*index, Some(*per_second));
         }
-        let rests = if self.opts.rests { schedule::rests(seed, self.shape) } else { Vec::new() };
-        for (at, rest) in &rests {
-            self.note(format!("upstream {at} asks for {rest:?} of rest"));
-            self.faults.pool.rest(*at, Some(*rest));
+        let rests = if self.opts.rests { schedule::rests(seed, self.size) } else { Vec::new() };
+        for (index, rest) in &rests {
+            self.log_action(format!("upstream {index} asks for a rest of {rest:?}"));
+            self.injector.pool.set_rest(*index, Some(*rest));
         }
-        let faults = schedule::storm(seed, self.shape, self.opts.storm);
-        self.play(&faults, self.opts.storm).await;
-        self.faults.mend();
-        self.serves_again().await?;
+        let faults = schedule::storm(seed, self.size, self.opts.storm);
+        self.run_schedule(&faults, self.opts.storm).await;
+        self.injector.repair();
+        self.wait_until_serving().await?;
         self.cx.record.set_calm(Some(round));
-        self.note(format!("round {round}: calm"));
+        self.log_action(format!("round {round}: calm phase"));
         let before = self.cx.record.answered();
-        let work = schedule::calm(seed, self.shape, self.opts.calm);
-        self.play(&work, self.opts.calm).await;
-        self.serves_again().await?;
+        let maintenance = schedule::calm(seed, self.size, self.opts.calm);
+        self.run_schedule(&maintenance, self.opts.calm).await;
+        self.wait_until_serving().await?;
         self.cx.record.set_calm(None);
-        for (at, _) in &limits {
-            self.faults.pool.limit(*at, None);
+        for (index, _) in &limits {
+            self.injector.pool.set_limit(*index, None);
         }
-        for (at, _) in &rests {
-            self.faults.pool.rest(*at, None);
+        for (index, _) in &rests {
+            self.injector.pool.set_rest(*index, None);
         }
         let answered = self.cx.record.answered().saturating_sub(before);
-        // What upstreams at their limits or at rest do not take is refused.
+        // Upstreams that limit or reject requests cause refusals, so fewer answers are required.
         let least = if limits.is_empty() && rests.is_empty() { self.opts.callers } else { 1 };
-        ensure!(answered >= least, "{answered} requests answered in a calm part");
+        ensure!(
+            answered >= least,
+            "{answered} requests answered in a calm phase, expected {least}"
+        );
         Ok(())
     }
 
-    /// Plays steps, each beside the others, until all are over.
-    async fn play(&self, steps: &[Step], length: Duration) {
-        let all = steps.iter().map(|step| self.step(step));
+    /// Injects all faults of a phase concurrently, and waits at least for the length of the phase.
+    async fn run_schedule(&self, faults: &[ScheduledFault], length: Duration) {
+        let all = faults.iter().map(|fault| self.run_fault(fault));
         join(join_all(all), compio::time::sleep(length)).await;
     }
 
-    /// Waits for the time of a step, notes it, and carries it out.
-    async fn step(&self, step: &Step) {
-        compio::time::sleep(step.at).await;
-        self.note(format!("{:?} for {:?}", step.fault, step.lasts));
-        self.faults.inject(step.fault, step.lasts).await;
+    /// Waits until a fault is due, logs it and injects it.
+    async fn run_fault(&self, scheduled: &ScheduledFault) {
+        compio::time::sleep(scheduled.at).await;
+        self.log_action(format!("{:?} for {:?}", scheduled.fault, scheduled.duration));
+        self.injector.inject(scheduled.fault, scheduled.duration).await;
     }
 
-    /// Waits until every box takes requests and the newest acknowledged configuration is read.
-    async fn serves_again(&self) -> anyhow::Result<()> {
+    /// Waits until every box is ready and a configuration can be read.
+    async fn wait_until_serving(&self) -> anyhow::Result<()> {
         let started = Instant::now();
-        let mut missing = self.missing().await;
-        while !missing.is_empty() {
-            ensure!(started.elapsed() < MEND_PATIENCE, "not serving again: {missing:?}");
-            compio::time::sleep(LOOK).await;
-            missing = self.missing().await;
+        let mut not_ready = self.not_ready().await;
+        while !not_ready.is_empty() {
+            ensure!(
+                started.elapsed() < RECOVERY_TIMEOUT,
+                "the fleet does not serve after {RECOVERY_TIMEOUT:?}: {not_ready:?}"
+            );
+            compio::time::sleep(POLL_INTERVAL).await;
+            not_ready = self.not_ready().await;
         }
-        self.note("serves".to_owned());
+        self.log_action("the fleet serves".to_owned());
         Ok(())
     }
 
-    /// Returns what keeps the fleet from serving.
-    async fn missing(&self) -> Vec<String> {
-        let mut missing = Vec::new();
-        for at in self.shape.all_boxes() {
-            let addr = self.fleet.addr(at, |ports| ports.ready);
-            let asked = Upstream { addr, connect_timeout: LOOK_LIMIT };
-            let answer = asked.send((self.cx.wire.ready)(), LOOK_LIMIT).await;
+    /// Returns the reasons why the fleet is not serving yet.
+    async fn not_ready(&self) -> Vec<String> {
+        let mut not_ready = Vec::new();
+        for index in self.size.all_boxes() {
+            let addr = self.fleet.addr(index, |ports| ports.ready);
+            let probed = Upstream { addr, connect_timeout: PROBE_TIMEOUT };
+            let answer = probed.send((self.cx.wire.ready)(), PROBE_TIMEOUT).await;
             if !answer.is_ok_and(|answer| answer.status().is_success()) {
-                missing.push(format!("box {at} is not ready"));
+                not_ready.push(format!("box {index} is not ready"));
             }
         }
         if self.operator.read().await.is_none() {
-            missing.push("no configuration is read back".to_owned());
+            not_ready.push("no configuration can be read".to_owned());
         }
-        missing
+        not_ready
     }
 
-    /// Notes something that was done.
-    fn note(&self, what: String) {
+    /// Adds an action to the log of the run.
+    fn log_action(&self, action: String) {
         let at = self.cx.record.tick();
-        self.done.borrow_mut().push(format!("{at}: {what}"));
+        self.actions.borrow_mut().push(format!("{at}: {action}"));
     }
 
-    /// Composes the report, the end of the rounds included.
+    /// Builds the report, including an error that ended the rounds early.
     fn report(&self, rounds: anyhow::Result<()>) -> Report {
-        let mut broken = verify(&self.cx.record);
-        broken.extend(rounds.err().map(|err| Broken {
-            promise: "a fleet that was mended serves again",
-            seen: format!("{err:#}"),
+        let mut violations = verify(&self.cx.record);
+        violations.extend(rounds.err().map(|err| Violation {
+            property: "the fleet serves again after its repair",
+            observed: format!("{err:#}"),
         }));
         let refused = self.operator.refused.borrow();
-        broken.extend(refused.iter().map(|number| Broken {
-            promise: "a valid configuration is not refused",
-            seen: format!("{number} was refused"),
+        violations.extend(refused.iter().map(|number| Violation {
+            property: "a valid configuration is not refused",
+            observed: format!("configuration {number} was refused"),
         }));
         Report {
-            broken,
-            ends: self.cx.record.counts(),
+            violations,
+            outcomes: self.cx.record.outcome_counts(),
             configs: self.cx.record.configs.borrow().len(),
-            own_ends: self.cx.record.own_ends.get(),
-            done: self.done.borrow().clone(),
+            unexpected_exits: self.cx.record.unexpected_exits.get(),
+            actions: self.actions.borrow().clone(),
         }
     }
 }
 
-/// Returns the first parts of loopback addresses that no other run on this machine uses.
-fn net_of(seed: u64) -> [u8; 3] {
+/// Returns the first three octets of the loopback addresses, chosen by process id and seed so that
+/// concurrent runs do not collide.
+fn loopback_net(seed: u64) -> [u8; 3] {
     let [.., high, low] = std::process::id().to_be_bytes();
     [127, (high & 0x7f).max(1), low ^ (seed as u8)]
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when, drawn from a seed.
+//! Fault schedules drawn from a seed.
 
 use std::time::Duration;
 
@@ -6,194 +6,196 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// Shortest and longest time that a fault lasts, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 200..2_500;
-/// Fewest and most faults of a storm: in six seconds several of them last at any moment.
-const FAULTS: std::ops::Range<usize> = 6..18;
-/// Shortest and longest delay of a link, in milliseconds.
+/// Range of fault durations, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 200..2_500;
+/// Range of the number of faults per storm. With a storm of six seconds, several overlap at any
+/// time.
+const FAULT_COUNT: std::ops::Range<usize> = 6..18;
+/// Range of link delays, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 5..120;
 
-/// The size of a fleet, as far as a schedule depends on it.
+/// Size of a fleet, as far as schedules depend on it.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape {
-    /// Boxes; the first ones hold the log.
+pub struct FleetSize {
+    /// Number of boxes. The first `log_boxes` of them hold the log.
     pub boxes: usize,
-    /// Boxes that hold the log.
-    pub core: usize,
-    /// Upstreams.
+    /// Number of boxes that hold the log.
+    pub log_boxes: usize,
+    /// Number of upstreams.
     pub upstreams: usize,
 }
 
-/// Boxes with a control process: three that hold the log and three without a disk, as where
-/// each of three failure domains has two. More of them would only call each other.
+/// Number of boxes with a control process: three that hold the log and three without a disk, as in
+/// a fleet with two per failure domain. More would only add calls between control boxes.
 const CONTROL_BOXES: usize = 6;
 
-impl Shape {
-    /// Returns the places of the boxes that have a control process.
+impl FleetSize {
+    /// Returns the indices of the boxes that have a control process.
     pub fn control_boxes(&self) -> std::ops::Range<usize> {
         0..self.boxes.min(CONTROL_BOXES)
     }
 
-    /// Returns the places of all boxes.
+    /// Returns the indices of all boxes.
     pub fn all_boxes(&self) -> Vec<usize> {
         (0..self.boxes).collect()
     }
 }
 
-/// One thing that goes wrong, or that is done to the fleet.
+/// A fault, or a maintenance action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The processes of a box are killed and started again.
+    /// Kills and restarts the processes of a box.
     KillBox(usize),
-    /// The control processes of all boxes are.
+    /// Kills and restarts the control processes of all boxes.
     KillCore,
-    /// All processes are.
+    /// Kills and restarts all processes of all boxes.
     KillAll,
-    /// A box stands still.
+    /// Suspends the processes of a box.
     Freeze(usize),
-    /// A box is asked to stop and started again.
+    /// Stops a box with SIGTERM and restarts it.
     StopBox(usize),
-    /// A box is told that its settings may have changed.
+    /// Sends SIGHUP to a box: its settings may have changed.
     HangUp(usize),
-    /// A box loses its disk, and its control process with it.
+    /// Kills the control process of a box and deletes its data.
     LoseDisk(usize),
-    /// The control process of a box is killed in the middle of a write.
+    /// Kills the control process of a box and leaves a partial record in its log.
     TornWrite(usize),
-    /// The disk of a box takes no more bytes.
+    /// Makes writes to the disk of a box fail.
     FullDisk(usize),
-    /// Nothing that one box sends reaches another.
+    /// Blocks everything that the first box sends to the second.
     CutOneWay(usize, usize),
-    /// A box and all other boxes do not reach each other.
+    /// Partitions a box from all other boxes.
     CutOff(usize),
-    /// Links to a box are slow.
+    /// Delays the links between a box and all others, in milliseconds.
     Slow(usize, u64),
-    /// Connections to a box are reset.
+    /// Resets the connections to a box.
     ResetBox(usize),
-    /// An upstream crashes and comes back as a new life.
+    /// Crashes an upstream and restarts it as a new instance.
     CrashUpstream(usize),
-    /// An upstream says nothing.
+    /// Blocks everything that an upstream sends.
     SilenceUpstream(usize),
-    /// Connections to an upstream are reset.
+    /// Resets the connections to an upstream.
     ResetUpstream(usize),
-    /// Answers of an upstream are lost after it ran the requests.
+    /// Makes an upstream run requests without delivering the answers.
     LoseAnswers(usize),
-    /// An upstream spoils answers.
+    /// Makes an upstream abort its answers midway.
     SpoilAnswers(usize),
-    /// An upstream gives notice and is gone soon after.
+    /// Makes an upstream announce that it is leaving and crash shortly afterwards.
     Reclaim(usize),
-    /// An upstream leaves, and waits for its runs.
+    /// Makes an upstream leave gracefully, after its active runs have ended.
     Leave(usize),
 }
 
-/// Tells the chance of limits from that of faults.
-const LIMITS_DRAW: u64 = 0x6c69_6d69_7473;
-/// Limits that upstreams name, in tenths of a request a second: far below what callers send.
+/// Separates the random numbers of the rate limits from those of the faults.
+const LIMITS_SALT: u64 = 0x6c69_6d69_7473;
+/// Range of rate limits, in tenths of a request per second; far below the load that callers offer.
 const LIMIT_TENTHS: std::ops::Range<u32> = 5..80;
 
-/// Tells the chance of rests from that of faults.
-const RESTS_DRAW: u64 = 0x0072_6573_7473;
-/// Upstreams that ask for rest in a round at the most, and rests in milliseconds.
-const MOST_AT_REST: usize = 2;
+/// Separates the random numbers of the rests from those of the faults.
+const RESTS_SALT: u64 = 0x0072_6573_7473;
+/// Maximum number of upstreams that ask for a rest in a round.
+const MAX_RESTING: usize = 2;
 const REST_MS: std::ops::Range<u64> = 800..4_000;
 
-/// When something goes wrong, and for how long.
+/// A fault with its start time and duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Step {
-    /// Time since the part began.
+pub struct ScheduledFault {
+    /// Time since the start of the phase.
     pub at: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
-    /// What it is.
+    /// Duration of the fault.
+    pub duration: Duration,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Draws the faults of a storm, which overlap as they come.
-pub fn storm(seed: u64, shape: Shape, length: Duration) -> Vec<Step> {
+/// Draws the faults of a storm phase, which may overlap.
+pub fn storm(seed: u64, size: FleetSize, length: Duration) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let count = rng.random_range(FAULTS);
-    let mut disk_lost = false;
-    let mut steps: Vec<Step> = (0..count)
+    let count = rng.random_range(FAULT_COUNT);
+    let mut has_lost_disk = false;
+    let mut faults: Vec<ScheduledFault> = (0..count)
         .map(|_| {
-            let mut fault = any_fault(&mut rng, shape);
-            // Two lost disks at once are more than such a fleet bears.
+            let mut fault = random_fault(&mut rng, size);
+            // The log survives the loss of one disk only.
             if matches!(fault, Fault::LoseDisk(_)) {
-                if disk_lost {
+                if has_lost_disk {
                     fault = Fault::KillCore;
                 }
-                disk_lost = true;
+                has_lost_disk = true;
             }
-            step(&mut rng, fault, length)
+            schedule_fault(&mut rng, fault, length)
         })
         .collect();
-    steps.sort_by_key(|step| step.at);
-    steps
+    faults.sort_by_key(|fault| fault.at);
+    faults
 }
 
-/// Draws the planned work of a calm part: one thing after the other.
-pub fn calm(seed: u64, shape: Shape, length: Duration) -> Vec<Step> {
+/// Draws the maintenance actions of a calm phase, sorted by time.
+pub fn calm(seed: u64, size: FleetSize, length: Duration) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let box_at = rng.random_range(0..shape.boxes);
-    let leaver = rng.random_range(0..shape.upstreams);
-    let work = [Fault::StopBox(box_at), Fault::HangUp(box_at), Fault::Leave(leaver)];
-    let mut steps: Vec<Step> =
-        work.into_iter().map(|fault| step(&mut rng, fault, length)).collect();
-    steps.sort_by_key(|step| step.at);
-    steps
+    let box_index = rng.random_range(0..size.boxes);
+    let leaver = rng.random_range(0..size.upstreams);
+    let maintenance = [Fault::StopBox(box_index), Fault::HangUp(box_index), Fault::Leave(leaver)];
+    let mut faults: Vec<ScheduledFault> =
+        maintenance.into_iter().map(|fault| schedule_fault(&mut rng, fault, length)).collect();
+    faults.sort_by_key(|fault| fault.at);
+    faults
 }
 
-/// Draws which upstreams name limits in a round, and the limits in requests a second. It has a chance
-/// of its own, so that the faults of a seed stay what they were.
-pub fn limits(seed: u64, shape: Shape) -> Vec<(usize, f64)> {
-    let mut rng = SmallRng::seed_from_u64(seed ^ LIMITS_DRAW);
-    let count = rng.random_range(1..=shape.upstreams);
+/// Draws the upstreams that announce rate limits in a round, with their limits in requests per
+/// second. A separate generator keeps the faults of a seed unchanged.
+pub fn limits(seed: u64, size: FleetSize) -> Vec<(usize, f64)> {
+    let mut rng = SmallRng::seed_from_u64(seed ^ LIMITS_SALT);
+    let count = rng.random_range(1..=size.upstreams);
     (0..count)
         .map(|_| {
-            let at = rng.random_range(0..shape.upstreams);
-            (at, f64::from(rng.random_range(LIMIT_TENTHS)) / 10.0)
+            let index = rng.random_range(0..size.upstreams);
+            (index, f64::from(rng.random_range(LIMIT_TENTHS)) / 10.0)
         })
         .collect()
 }
 
-/// Draws which upstreams ask for rest in a round, and for how long, with a chance of its own.
-pub fn rests(seed: u64, shape: Shape) -> Vec<(usize, Duration)> {
-    let mut rng = SmallRng::seed_from_u64(seed ^ RESTS_DRAW);
-    let count = rng.random_range(1..=MOST_AT_REST.min(shape.upstreams));
+/// Draws the upstreams that ask for a rest in a round, with its duration, from a separate
+/// generator.
+pub fn rests(seed: u64, size: FleetSize) -> Vec<(usize, Duration)> {
+    let mut rng = SmallRng::seed_from_u64(seed ^ RESTS_SALT);
+    let count = rng.random_range(1..=MAX_RESTING.min(size.upstreams));
     (0..count)
         .map(|_| {
-            let at = rng.random_range(0..shape.upstreams);
-            (at, Duration::from_millis(rng.random_range(REST_MS)))
+            let index = rng.random_range(0..size.upstreams);
+            (index, Duration::from_millis(rng.random_range(REST_MS)))
         })
         .collect()
 }
 
-/// Draws when a fault of a part of this length begins, and how long it lasts.
-fn step(rng: &mut SmallRng, fault: Fault, length: Duration) -> Step {
+/// Draws the start and the duration of a fault within a phase of the given length.
+fn schedule_fault(rng: &mut SmallRng, fault: Fault, length: Duration) -> ScheduledFault {
     let at = rng.random_range(0..length.as_millis().max(1)) as u64;
-    let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
-    Step { at: Duration::from_millis(at), lasts, fault }
+    let duration = Duration::from_millis(rng.random_range(DURATION_MS));
+    ScheduledFault { at: Duration::from_millis(at), duration, fault }
 }
 
-/// Draws a fault, each entry of the list as likely as the others.
-fn any_fault(rng: &mut SmallRng, shape: Shape) -> Fault {
-    let any_box = rng.random_range(0..shape.boxes);
-    let other = (any_box + rng.random_range(1..shape.boxes)) % shape.boxes;
-    let core = rng.random_range(0..shape.core);
-    let upstream = rng.random_range(0..shape.upstreams);
+/// Draws a fault, each entry of the list being equally likely.
+fn random_fault(rng: &mut SmallRng, size: FleetSize) -> Fault {
+    let any_box = rng.random_range(0..size.boxes);
+    let other = (any_box + rng.random_range(1..size.boxes)) % size.boxes;
+    let log_box = rng.random_range(0..size.log_boxes);
+    let upstream = rng.random_range(0..size.upstreams);
     let all = [
         Fault::KillBox(any_box),
-        Fault::KillBox(core),
+        Fault::KillBox(log_box),
         Fault::KillCore,
         Fault::KillAll,
         Fault::Freeze(any_box),
-        Fault::Freeze(core),
+        Fault::Freeze(log_box),
         Fault::StopBox(any_box),
         Fault::HangUp(any_box),
-        Fault::LoseDisk(core),
-        Fault::TornWrite(core),
-        Fault::FullDisk(core),
+        Fault::LoseDisk(log_box),
+        Fault::TornWrite(log_box),
+        Fault::FullDisk(log_box),
         Fault::CutOneWay(any_box, other),
         Fault::CutOff(any_box),
-        Fault::CutOff(core),
+        Fault::CutOff(log_box),
         Fault::Slow(any_box, rng.random_range(DELAY_MS)),
         Fault::ResetBox(any_box),
         Fault::CrashUpstream(upstream),
--- a/crates/soak/src/upstreams.rs
+++ b/crates/soak/src/upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams that announce themselves, leave, crash and come back as new lives; [`runs`] holds
-//! what they do with requests.
+//! Simulated upstreams, which announce themselves, leave, crash and restart as new instances.
+//! [`runs`] implements request handling.
 
 pub mod runs;
 
@@ -19,139 +19,142 @@
 use crate::context::RunCx;
 use crate::plan::DOMAINS;
 use crate::proxy::Proxy;
-use crate::record::{LifeId, RequestId};
+use crate::record::{InstanceId, RequestId};
 use crate::wire::Announcement;
 
-/// Time between announcements.
+/// Interval between announcements.
 const ANNOUNCE_PERIOD: Duration = Duration::from_millis(1_000);
-/// Time for an announcement to be acknowledged, after which another control box is called.
-const ACK_LIMIT: Duration = Duration::from_secs(1);
-/// Notice that a reclaimed upstream gives.
-const NOTICE: Duration = Duration::from_millis(1_500);
-/// Time after an acknowledged leaving from which on new work counts as late: twice what the
-/// platform's bound allows, for machines that are busy.
-const LATE_AFTER: Duration = Duration::from_secs(4);
-/// Longest time that an upstream which leaves in peace waits for its runs.
-const LEAVE_PATIENCE: Duration = Duration::from_secs(15);
-/// Time between the end of a life and the start of the next at its address.
-const NEXT_LIFE: Duration = Duration::from_millis(500);
-/// Time between looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time limit for the acknowledgement of an announcement, after which another control box is
+/// called.
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between the leaving notice of a reclaimed upstream and its end.
+const RECLAIM_NOTICE: Duration = Duration::from_millis(1_500);
+/// Time after an acknowledged leaving from which new requests count as late: twice the platform's
+/// bound, to allow for busy machines.
+const LATE_THRESHOLD: Duration = Duration::from_secs(4);
+/// Longest time that a gracefully leaving upstream waits for its active runs.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay between the end of an instance and the start of its successor at the same address.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
+/// Polling interval of wait loops.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What went wrong with an upstream.
+/// Fault in how an upstream answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Trouble {
-    /// Nothing.
+pub enum AnswerFault {
+    /// Answers are delivered.
     #[default]
     None,
-    /// It runs requests and answers none.
-    LosesAnswers,
-    /// It breaks answers off.
-    SpoilsAnswers,
+    /// Requests run, but their answers are never delivered.
+    Lost,
+    /// Answers are aborted before they are complete.
+    Truncated,
 }
 
-/// One life of an upstream.
-struct Life {
-    id: LifeId,
+/// One upstream instance, from its start to its end or crash.
+struct Instance {
+    id: InstanceId,
     sequence: Cell<u64>,
-    leaves: Cell<bool>,
-    /// When its leaving was acknowledged, in which calm part.
+    is_leaving: Cell<bool>,
+    /// When the leaving was acknowledged, and the calm phase at that time.
     leaving_acked: Cell<Option<(Instant, Option<u32>)>>,
-    dead: Cell<bool>,
+    ended: Cell<bool>,
     runs: RefCell<HashMap<RequestId, Rc<RunState>>>,
 }
 
-/// A place in the pool, at which one life follows another.
-struct Place {
-    at: usize,
+/// One address of the pool, used by successive instances.
+struct Slot {
+    index: usize,
     engine: bool,
-    /// Where boxes reach it.
+    /// Address at which boxes reach the upstream.
     addr: SocketAddr,
-    life: RefCell<Option<Rc<Life>>>,
-    trouble: Cell<Trouble>,
-    /// Requests a second that it says it takes; `None` for no limit.
+    instance: RefCell<Option<Rc<Instance>>>,
+    answer_fault: Cell<AnswerFault>,
+    /// Announced rate limit in requests per second; `None` for no limit.
     limit: Cell<Option<f64>>,
-    /// The rest that it asks for with all that it turns away; `None` while it takes requests.
+    /// Rest that it asks for while it rejects all requests; `None` while it accepts them.
     rest: Cell<Option<Duration>>,
 }
 
-/// How a pool is set up.
+/// Setup of a pool.
 #[derive(Debug, Clone)]
 pub struct PoolPlan {
-    /// Upstreams that are engines; they come first.
+    /// Number of engines, which have the first indices.
     pub engines: usize,
-    /// Upstreams that are plain services.
+    /// Number of plain upstreams.
     pub plain: usize,
-    /// Address at which boxes reach upstreams, which is the proxies'.
+    /// Proxy address at which boxes reach upstreams.
     pub ip: Ipv4Addr,
     /// Address at which upstreams listen.
     pub listen_ip: Ipv4Addr,
-    /// Where announcements are sent.
+    /// Addresses of the control boxes, to which announcements are sent.
     pub control: Vec<SocketAddr>,
-    /// Whether late work at upstreams that leave is noted.
-    pub notes_late_work: bool,
+    /// Whether late requests at leaving upstreams are recorded.
+    pub records_late_requests: bool,
 }
 
-/// All upstreams.
+/// All upstreams of a run.
 pub struct Pool {
     cx: Rc<RunCx>,
     plan: PoolPlan,
-    /// Places, engines first.
-    places: Vec<Rc<Place>>,
-    /// Copies by name: the request and its run.
+    /// Slots, engines first.
+    slots: Vec<Rc<Slot>>,
+    /// Copies by handle, each with the id and state of the copied run.
     copies: RefCell<HashMap<String, (RequestId, Rc<RunState>)>>,
-    names: Cell<u64>,
+    last_number: Cell<u64>,
 }
 
 impl Pool {
-    /// Starts upstreams.
+    /// Starts the upstreams.
     ///
     /// # Errors
     ///
     /// Returns an error if a listener can't be bound.
     pub async fn start(cx: Rc<RunCx>, plan: PoolPlan) -> anyhow::Result<Rc<Self>> {
-        let mut places = Vec::new();
+        let mut slots = Vec::new();
         let mut listeners = Vec::new();
-        for at in 0..plan.engines + plan.plain {
+        for index in 0..plan.engines + plan.plain {
             let listener = bind(SocketAddr::from((plan.listen_ip, 0))).await?;
             let target = listener.local_addr()?;
             let addr = SocketAddr::from((plan.ip, target.port()));
-            let proxy = Proxy { addr, target, party: Party::Upstream(at), by_box: false };
+            let proxy =
+                Proxy { addr, target, party: Party::Upstream(index), identifies_box: false };
             proxy.open(cx.clone()).await?;
             listeners.push(listener);
-            places.push(Rc::new(Place {
-                at,
-                engine: at < plan.engines,
+            slots.push(Rc::new(Slot {
+                index,
+                engine: index < plan.engines,
                 addr,
-                life: RefCell::default(),
-                trouble: Cell::default(),
+                instance: RefCell::default(),
+                answer_fault: Cell::default(),
                 limit: Cell::default(),
                 rest: Cell::default(),
             }));
         }
-        let (copies, names) = (RefCell::default(), Cell::new(0));
+        let (copies, last_number) = (RefCell::default(), Cell::new(0));
         let stop = cx.stop.clone();
-        let pool = Rc::new(Self { cx, plan, places, copies, names });
-        for (place, listener) in pool.places.iter().zip(listeners) {
-            pool.begin_life(place);
-            pool.serve(place.clone(), listener, stop.clone());
+        let pool = Rc::new(Self { cx, plan, slots, copies, last_number });
+        for (slot, listener) in pool.slots.iter().zip(listeners) {
+            pool.start_instance(slot);
+            pool.serve(slot.clone(), listener, stop.clone());
         }
         Ok(pool)
     }
 
-    /// Serves the requests that reach a place.
-    fn serve(self: &Rc<Self>, place: Rc<Place>, listener: TcpListener, stop: Stop) {
+    /// Serves the requests that arrive at a slot.
+    fn serve(self: &Rc<Self>, slot: Rc<Slot>, listener: TcpListener, stop: Stop) {
         let pool = self.clone();
         let handler = Rc::new(move |req, _| {
-            let (pool, place) = (pool.clone(), place.clone());
+            let (pool, slot) = (pool.clone(), slot.clone());
             async move {
-                let leaves = pool.current(place.at).is_some_and(|life| life.leaves.get());
-                let mut res = pool.answer(&place, req).await;
-                if leaves {
-                    (pool.cx.wire.say_leaving)(&mut res);
+                let is_leaving =
+                    pool.current(slot.index).is_some_and(|instance| instance.is_leaving.get());
+                let mut res = pool.answer(&slot, req).await;
+                if is_leaving {
+                    (pool.cx.wire.mark_leaving)(&mut res);
                 }
-                if let Some(limit) = place.limit.get() {
-                    (pool.cx.wire.name_limit)(&mut res, limit);
+                if let Some(limit) = slot.limit.get() {
+                    (pool.cx.wire.set_limit)(&mut res, limit);
                 }
                 res
             }
@@ -160,140 +163,142 @@
         compio::runtime::spawn(serve(listener, ServerLimits::default(), handler, stop)).detach();
     }
 
-    /// Returns a number that nothing else in the pool has.
-    fn next_name(&self) -> u64 {
-        self.names.set(self.names.get() + 1);
-        self.names.get()
+    /// Returns a number that is unique in the pool.
+    fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 
-    /// Lets a new life begin at a place, and announce itself.
-    fn begin_life(self: &Rc<Self>, place: &Rc<Place>) {
-        let life = Rc::new(Life {
-            id: format!("u{}-{}", place.at, self.next_name()),
+    /// Starts a new instance in a slot and its periodic announcements.
+    fn start_instance(self: &Rc<Self>, slot: &Rc<Slot>) {
+        let instance = Rc::new(Instance {
+            id: format!("u{}-{}", slot.index, self.next_number()),
             sequence: Cell::new(0),
-            leaves: Cell::new(false),
+            is_leaving: Cell::new(false),
             leaving_acked: Cell::new(None),
-            dead: Cell::new(false),
+            ended: Cell::new(false),
             runs: RefCell::default(),
         });
-        *place.life.borrow_mut() = Some(life.clone());
-        compio::runtime::spawn(self.clone().announce_regularly(place.clone(), life)).detach();
+        *slot.instance.borrow_mut() = Some(instance.clone());
+        compio::runtime::spawn(self.clone().announce_periodically(slot.clone(), instance)).detach();
     }
 
-    /// Announces a life until it ends, and at once when it begins to leave.
-    async fn announce_regularly(self: Rc<Self>, place: Rc<Place>, life: Rc<Life>) {
-        while !life.dead.get() && !self.cx.stop.is_set() {
-            self.announce(&place, &life).await;
+    /// Announces an instance periodically until it ends, and immediately when it starts to leave.
+    async fn announce_periodically(self: Rc<Self>, slot: Rc<Slot>, instance: Rc<Instance>) {
+        while !instance.ended.get() && !self.cx.stop.is_set() {
+            self.announce(&slot, &instance).await;
             let started = Instant::now();
-            let leaves = life.leaves.get();
-            while started.elapsed() < ANNOUNCE_PERIOD && life.leaves.get() == leaves {
-                compio::time::sleep(LOOK).await;
+            let is_leaving = instance.is_leaving.get();
+            while started.elapsed() < ANNOUNCE_PERIOD && instance.is_leaving.get() == is_leaving {
+                compio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
 
-    /// Announces a life at one control box after another until one acknowledges it.
-    async fn announce(&self, place: &Place, life: &Life) {
+    /// Announces an instance to one control box after another until one acknowledges.
+    async fn announce(&self, slot: &Slot, instance: &Instance) {
         let first = rand::random_range(0..self.plan.control.len());
-        for at in 0..self.plan.control.len() {
-            if life.dead.get() {
+        for offset in 0..self.plan.control.len() {
+            if instance.ended.get() {
                 return;
             }
-            life.sequence.set(life.sequence.get() + 1);
-            let leaves = life.leaves.get();
+            instance.sequence.set(instance.sequence.get() + 1);
+            let is_leaving = instance.is_leaving.get();
             let message = (self.cx.wire.announce)(&Announcement {
-                life: life.id.clone(),
-                engine: place.engine,
-                addr: place.addr,
-                domain: DOMAINS[place.at % DOMAINS.len()].to_owned(),
-                leaves,
-                sequence: life.sequence.get(),
+                instance: instance.id.clone(),
+                engine: slot.engine,
+                addr: slot.addr,
+                failure_domain: DOMAINS[slot.index % DOMAINS.len()].to_owned(),
+                is_leaving,
+                sequence: instance.sequence.get(),
             });
-            let addr = self.plan.control[(first + at) % self.plan.control.len()];
+            let addr = self.plan.control[(first + offset) % self.plan.control.len()];
             if acknowledged(addr, message).await {
-                if leaves && life.leaving_acked.get().is_none() {
-                    life.leaving_acked.set(Some((Instant::now(), self.cx.record.calm())));
+                if is_leaving && instance.leaving_acked.get().is_none() {
+                    instance.leaving_acked.set(Some((Instant::now(), self.cx.record.calm())));
                 }
                 return;
             }
         }
     }
 
-    /// Ends a life at once; what it ran is gone.
-    pub fn crash(&self, at: usize) {
-        let place = &self.places[at];
-        self.cx.links.refuse(Party::Upstream(at), true);
-        self.cx.links.reset(Party::Upstream(at));
-        if let Some(life) = place.life.borrow_mut().take() {
-            life.dead.set(true);
-            // What it ran is over at once, not when its next event would be due.
-            life.runs.borrow().values().for_each(|run| run.over.set(true));
+    /// Ends the instance in a slot at once, along with its runs.
+    pub fn crash(&self, index: usize) {
+        let slot = &self.slots[index];
+        self.cx.links.refuse(Party::Upstream(index), true);
+        self.cx.links.reset(Party::Upstream(index));
+        if let Some(instance) = slot.instance.borrow_mut().take() {
+            instance.ended.set(true);
+            // Runs end now, not when their next event is due.
+            instance.runs.borrow().values().for_each(|run| run.finished.set(true));
         }
     }
 
-    /// Lets a new life begin at a place that has none.
-    pub fn revive(self: &Rc<Self>, at: usize) {
-        self.cx.links.refuse(Party::Upstream(at), false);
-        let place = self.places[at].clone();
-        if place.life.borrow().is_none() {
-            self.begin_life(&place);
+    /// Starts a new instance in a slot that has none.
+    pub fn restart(self: &Rc<Self>, index: usize) {
+        self.cx.links.refuse(Party::Upstream(index), false);
+        let slot = self.slots[index].clone();
+        if slot.instance.borrow().is_none() {
+            self.start_instance(&slot);
         }
     }
 
-    /// Gives notice, and is gone when it is over, whatever runs.
-    pub async fn reclaim(self: &Rc<Self>, at: usize) {
-        if let Some(life) = self.current(at) {
-            life.leaves.set(true);
-            compio::time::sleep(NOTICE).await;
+    /// Announces that an upstream is leaving, ends it after the notice period even if runs are
+    /// active, and restarts it.
+    pub async fn reclaim(self: &Rc<Self>, index: usize) {
+        if let Some(instance) = self.current(index) {
+            instance.is_leaving.set(true);
+            compio::time::sleep(RECLAIM_NOTICE).await;
         }
-        self.crash(at);
-        compio::time::sleep(NEXT_LIFE).await;
-        self.revive(at);
+        self.crash(index);
+        compio::time::sleep(RESTART_DELAY).await;
+        self.restart(index);
     }
 
-    /// Leaves as upstreams do that are replaced: says so, waits for its runs, ends its life.
-    pub async fn leave(self: &Rc<Self>, at: usize) {
-        let Some(life) = self.current(at) else { return };
-        life.leaves.set(true);
+    /// Leaves gracefully: announces the leaving, waits for active runs, ends the instance and
+    /// restarts.
+    pub async fn leave(self: &Rc<Self>, index: usize) {
+        let Some(instance) = self.current(index) else { return };
+        instance.is_leaving.set(true);
         let started = Instant::now();
-        let waits = |life: &Life| {
-            let acked = life.leaving_acked.get();
-            let settled = acked.is_some_and(|(at, _)| at.elapsed() > LATE_AFTER);
-            !settled || life.runs.borrow().values().any(|run| !run.over.get())
+        let must_wait = |instance: &Instance| {
+            let acked = instance.leaving_acked.get();
+            let settled = acked.is_some_and(|(at, _)| at.elapsed() > LATE_THRESHOLD);
+            !settled || instance.runs.borrow().values().any(|run| !run.finished.get())
         };
-        while started.elapsed() < LEAVE_PATIENCE && waits(&life) && !life.dead.get() {
-            compio::time::sleep(LOOK).await;
+        while started.elapsed() < DRAIN_TIMEOUT && must_wait(&instance) && !instance.ended.get() {
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         let control = self.plan.control[rand::random_range(0..self.plan.control.len())];
-        acknowledged(control, (self.cx.wire.end_life)(&life.id)).await;
-        self.crash(at);
-        compio::time::sleep(NEXT_LIFE).await;
-        self.revive(at);
+        acknowledged(control, (self.cx.wire.end_instance)(&instance.id)).await;
+        self.crash(index);
+        compio::time::sleep(RESTART_DELAY).await;
+        self.restart(index);
     }
 
-    /// Sets what goes wrong with an upstream.
-    pub fn trouble(&self, at: usize, trouble: Trouble) {
-        self.places[at].trouble.set(trouble);
+    /// Sets the answer fault of an upstream.
+    pub fn set_answer_fault(&self, index: usize, answer_fault: AnswerFault) {
+        self.slots[index].answer_fault.set(answer_fault);
     }
 
-    /// Has an upstream name a limit from now on, or none.
-    pub fn limit(&self, at: usize, per_second: Option<f64>) {
-        self.places[at].limit.set(per_second);
+    /// Sets or removes the rate limit that an upstream announces.
+    pub fn set_limit(&self, index: usize, per_second: Option<f64>) {
+        self.slots[index].limit.set(per_second);
     }
 
-    /// Has an upstream turn all requests away from now on and ask for rest, or take them.
-    pub fn rest(&self, at: usize, rest: Option<Duration>) {
-        self.places[at].rest.set(rest);
+    /// Makes an upstream reject all requests and ask for a rest, or accept them again.
+    pub fn set_rest(&self, index: usize, rest: Option<Duration>) {
+        self.slots[index].rest.set(rest);
     }
 
-    /// Returns the life at a place, if there is one.
-    fn current(&self, at: usize) -> Option<Rc<Life>> {
-        self.places[at].life.borrow().clone()
+    /// Returns the current instance in a slot, if any.
+    fn current(&self, index: usize) -> Option<Rc<Instance>> {
+        self.slots[index].instance.borrow().clone()
     }
 }
 
-/// Sends a message to a control box; returns whether it was taken.
+/// Sends a message to a control box. Returns whether it answered with success.
 async fn acknowledged(addr: SocketAddr, message: Request<Body>) -> bool {
-    let control = Upstream { addr, connect_timeout: ACK_LIMIT };
-    matches!(control.send(message, ACK_LIMIT).await, Ok(res) if res.status().is_success())
+    let control = Upstream { addr, connect_timeout: ACK_TIMEOUT };
+    matches!(control.send(message, ACK_TIMEOUT).await, Ok(res) if res.status().is_success())
 }
--- a/crates/soak/src/upstreams/runs.rs
+++ b/crates/soak/src/upstreams/runs.rs
@@ -1,5 +1,5 @@
-//! What upstreams do with requests: they run them, stream events, copy runs to each other, go on
-//! from copies, and spoil or lose answers when they are told to.
+//! Request handling of simulated upstreams: running requests, streaming events, copying runs,
+//! resuming from copies, and applying answer faults.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -11,139 +11,150 @@
 use http::{Request, Response};
 use hyper::body::Incoming;
 
-use super::{ACK_LIMIT, LATE_AFTER, LEAVE_PATIENCE, Life, Place, Pool, Trouble};
+use super::{ACK_TIMEOUT, AnswerFault, DRAIN_TIMEOUT, Instance, LATE_THRESHOLD, Pool, Slot};
 use crate::callers::answer_text;
-use crate::record::{Begun, LimitedWork, RequestId, RestedWork};
-use crate::wire::{Ask, Reply};
+use crate::record::{LimitedRequest, RejectedRequest, RequestId, RunStart};
+use crate::wire::{Reply, UpstreamRequest};
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 60;
-/// Time between two events: a stream takes a second and a half.
+/// Interval between two events; a stream takes 1.5 seconds.
 const BETWEEN_EVENTS: Duration = Duration::from_millis(25);
-/// Time that a plain call takes.
-const WORK: Duration = Duration::from_millis(8);
-/// Time that a copy takes.
-const COPY: Duration = Duration::from_millis(25);
-/// Largest request that is read, in bytes.
+/// Running time of a plain call.
+const CALL_TIME: Duration = Duration::from_millis(8);
+/// Time that copying a run takes.
+const COPY_TIME: Duration = Duration::from_millis(25);
+/// Largest request body that is read, in bytes.
 const MAX_REQUEST: usize = 1 << 20;
 
-/// A run at an upstream.
+/// State of a run at an upstream.
 pub(super) struct RunState {
-    /// Differs from generation to generation; stands in each event.
+    /// Unique number of the generation, contained in each event. A resumed run keeps it.
     generation: u64,
-    /// Events made so far.
+    /// Number of events produced so far.
     made: Cell<u64>,
-    /// Whether it was stopped in order to go on elsewhere.
+    /// Whether the run was stopped in order to continue elsewhere.
     stopped: Cell<bool>,
-    /// Whether it makes no more events.
-    pub(super) over: Cell<bool>,
+    /// Whether the run produces no more events.
+    pub(super) finished: Cell<bool>,
 }
 
 impl RunState {
-    /// Creates a run that goes on after `made` events.
+    /// Creates a run that continues after `made` events.
     fn new(generation: u64, made: u64) -> Rc<Self> {
-        let (stopped, over) = (Cell::new(false), Cell::new(false));
-        Rc::new(Self { generation, made: Cell::new(made), stopped, over })
+        let (stopped, finished) = (Cell::new(false), Cell::new(false));
+        Rc::new(Self { generation, made: Cell::new(made), stopped, finished })
     }
 }
 
 impl Pool {
-    /// Answers a request that reached a place.
-    pub(super) async fn answer(&self, place: &Place, req: Request<Incoming>) -> Response<Body> {
+    /// Answers a request that arrived at a slot.
+    pub(super) async fn answer(&self, slot: &Slot, req: Request<Incoming>) -> Response<Body> {
         let (parts, body) = req.into_parts();
         let reply = |reply: Reply| (self.cx.wire.reply)(&reply);
-        let Ok(body) = read_body(body, MAX_REQUEST, ACK_LIMIT).await else {
+        let Ok(body) = read_body(body, MAX_REQUEST, ACK_TIMEOUT).await else {
             return reply(Reply::Unknown);
         };
-        let Some(life) = self.current(place.at) else { return reply(Reply::OtherLife) };
-        match (self.cx.wire.read_ask)(&parts, &body) {
-            Ask::Run { id, life: meant, stream, resume } => {
-                if meant != life.id {
-                    return reply(Reply::OtherLife);
+        let Some(instance) = self.current(slot.index) else { return reply(Reply::WrongInstance) };
+        match (self.cx.wire.read_upstream_request)(&parts, &body) {
+            UpstreamRequest::Run { id, instance: expected, stream, resume } => {
+                if expected != instance.id {
+                    return reply(Reply::WrongInstance);
                 }
-                if let Some(rest) = place.rest.get() {
-                    return self.turn_away(&life, rest);
+                if let Some(rest) = slot.rest.get() {
+                    return self.reject(&instance, rest);
                 }
-                self.note_limited_work(place, &life);
-                self.note_late_work(&life, &id, resume.is_some());
+                self.record_limited(slot, &instance);
+                self.record_late(&instance, &id, resume.is_some());
                 match resume {
-                    Some((copy, after)) => self.go_on(place, &life, &id, &copy, after),
-                    None => self.run(place, &life, &id, stream).await,
+                    Some((copy, after)) => self.resume(slot, &instance, &id, &copy, after),
+                    None => self.run(slot, &instance, &id, stream).await,
                 }
             }
-            Ask::Copy { id, to, stop } => {
-                self.note_limited_work(place, &life);
-                self.copy(&life, &id, to, stop).await
+            UpstreamRequest::Copy { id, to, stop } => {
+                self.record_limited(slot, &instance);
+                self.copy(&instance, &id, to, stop).await
             }
-            Ask::Other => reply(Reply::Unknown),
+            UpstreamRequest::Other => reply(Reply::Unknown),
         }
     }
 
-    /// Turns a request away and asks for rest.
-    fn turn_away(&self, life: &Life, rest: Duration) -> Response<Body> {
-        self.cx.record.rested.borrow_mut().push(RestedWork {
-            life: life.id.clone(),
+    /// Rejects a request and asks for a rest.
+    fn reject(&self, instance: &Instance, rest: Duration) -> Response<Body> {
+        self.cx.record.rejected.borrow_mut().push(RejectedRequest {
+            instance: instance.id.clone(),
             rest,
             at: Instant::now(),
             calm: self.cx.record.calm(),
         });
         let mut res = (self.cx.wire.reply)(&Reply::NotRun);
-        (self.cx.wire.ask_rest)(&mut res, rest);
+        (self.cx.wire.set_rest)(&mut res, rest);
         res
     }
 
-    /// Notes a request that came while the upstream names a limit.
-    fn note_limited_work(&self, place: &Place, life: &Life) {
-        let Some(per_second) = place.limit.get() else { return };
-        self.cx.record.limited.borrow_mut().push(LimitedWork {
-            life: life.id.clone(),
+    /// Records a request that arrived while the upstream announced a rate limit.
+    fn record_limited(&self, slot: &Slot, instance: &Instance) {
+        let Some(per_second) = slot.limit.get() else { return };
+        self.cx.record.limited.borrow_mut().push(LimitedRequest {
+            instance: instance.id.clone(),
             per_second,
             at: Instant::now(),
             calm: self.cx.record.calm(),
         });
     }
 
-    /// Notes a request that came long after the leaving was acknowledged.
-    fn note_late_work(&self, life: &Life, id: &str, resumed: bool) {
-        let Some((at, calm)) = life.leaving_acked.get() else { return };
-        let late = at.elapsed() >= LATE_AFTER && calm.is_some() && calm == self.cx.record.calm();
-        if self.plan.notes_late_work && late && !resumed {
-            let seen = format!("{id} reached {} {:?} after that", life.id, at.elapsed());
-            self.cx.record.late_work.borrow_mut().push(seen);
+    /// Records a request that arrived long after the leaving was acknowledged.
+    fn record_late(&self, instance: &Instance, id: &str, resumed: bool) {
+        let Some((at, calm)) = instance.leaving_acked.get() else { return };
+        let late =
+            at.elapsed() >= LATE_THRESHOLD && calm.is_some() && calm == self.cx.record.calm();
+        if self.plan.records_late_requests && late && !resumed {
+            let seen = format!(
+                "{id} reached {} {:?} after its leaving was acknowledged",
+                instance.id,
+                at.elapsed()
+            );
+            self.cx.record.late_requests.borrow_mut().push(seen);
         }
     }
 
-    /// Runs a request from its beginning.
-    async fn run(&self, place: &Place, life: &Rc<Life>, id: &str, stream: bool) -> Response<Body> {
-        self.cx.record.runs.borrow_mut().push(Begun {
+    /// Runs a request from the beginning.
+    async fn run(
+        &self,
+        slot: &Slot,
+        instance: &Rc<Instance>,
+        id: &str,
+        stream: bool,
+    ) -> Response<Body> {
+        self.cx.record.runs.borrow_mut().push(RunStart {
             id: id.to_owned(),
-            life: life.id.clone(),
+            instance: instance.id.clone(),
             resumed: false,
-            beside_another: false,
+            concurrent: false,
         });
         if stream {
-            let run = RunState::new(self.next_name(), 0);
-            return self.stream(place, life, id, run);
+            let run = RunState::new(self.next_number(), 0);
+            return self.stream(slot, instance, id, run);
         }
-        compio::time::sleep(WORK).await;
-        match place.trouble.get() {
-            Trouble::LosesAnswers => {
-                compio::time::sleep(LEAVE_PATIENCE).await;
-                (self.cx.wire.answer)(id, false, broken_body())
+        compio::time::sleep(CALL_TIME).await;
+        match slot.answer_fault.get() {
+            AnswerFault::Lost => {
+                compio::time::sleep(DRAIN_TIMEOUT).await;
+                (self.cx.wire.answer)(id, false, aborted_body())
             }
-            Trouble::SpoilsAnswers => (self.cx.wire.answer)(id, false, broken_body()),
-            Trouble::None => {
-                let text = answer_text(id, &life.id);
+            AnswerFault::Truncated => (self.cx.wire.answer)(id, false, aborted_body()),
+            AnswerFault::None => {
+                let text = answer_text(id, &instance.id);
                 (self.cx.wire.answer)(id, false, Body::from(text))
             }
         }
     }
 
-    /// Goes on with a run from its copy, after the last event that was delivered.
-    fn go_on(
+    /// Resumes a run from its copy, after the last event that was delivered.
+    fn resume(
         &self,
-        place: &Place,
-        life: &Rc<Life>,
+        slot: &Slot,
+        instance: &Rc<Instance>,
         id: &str,
         copy: &str,
         after: u64,
@@ -154,66 +165,79 @@
         if of != id || after > run.made.get() {
             return (self.cx.wire.reply)(&Reply::NotRun);
         }
-        self.cx.record.runs.borrow_mut().push(Begun {
+        self.cx.record.runs.borrow_mut().push(RunStart {
             id: id.to_owned(),
-            life: life.id.clone(),
+            instance: instance.id.clone(),
             resumed: true,
-            beside_another: !run.stopped.get() && !run.over.get(),
+            concurrent: !run.stopped.get() && !run.finished.get(),
         });
         let next = RunState::new(run.generation, after);
-        self.stream(place, life, id, next)
+        self.stream(slot, instance, id, next)
     }
 
-    /// Begins to make the events of a run, and answers with them.
+    /// Starts producing the events of a run and returns the streaming answer.
     fn stream(
         &self,
-        place: &Place,
-        life: &Rc<Life>,
+        slot: &Slot,
+        instance: &Rc<Instance>,
         id: &str,
         run: Rc<RunState>,
     ) -> Response<Body> {
-        life.runs.borrow_mut().insert(id.to_owned(), run.clone());
+        instance.runs.borrow_mut().insert(id.to_owned(), run.clone());
         let (tx, body) = Body::stream(4);
-        let spoils = place.trouble.get() == Trouble::SpoilsAnswers;
-        compio::runtime::spawn(make_events(tx, life.clone(), id.to_owned(), run, spoils)).detach();
+        let truncates = slot.answer_fault.get() == AnswerFault::Truncated;
+        compio::runtime::spawn(generate_events(
+            tx,
+            instance.clone(),
+            id.to_owned(),
+            run,
+            truncates,
+        ))
+        .detach();
         (self.cx.wire.answer)(id, true, body)
     }
 
-    /// Copies a run to another upstream; the copy is kept here under its name.
-    async fn copy(&self, life: &Life, id: &str, to: SocketAddr, stop: bool) -> Response<Body> {
+    /// Copies a run to another upstream. The copy is stored in the pool under its handle.
+    async fn copy(
+        &self,
+        instance: &Instance,
+        id: &str,
+        to: SocketAddr,
+        stop: bool,
+    ) -> Response<Body> {
         let reply = |reply: Reply| (self.cx.wire.reply)(&reply);
-        let run = life.runs.borrow().get(id).cloned();
-        let Some(run) = run.filter(|run| !run.over.get() && run.made.get() > 0) else {
+        let run = instance.runs.borrow().get(id).cloned();
+        let Some(run) = run.filter(|run| !run.finished.get() && run.made.get() > 0) else {
             return reply(Reply::NoSuchRun);
         };
-        let target = self.places.iter().find(|place| place.addr == to);
-        let lives = target.is_some_and(|place| place.life.borrow().is_some());
+        let target = self.slots.iter().find(|slot| slot.addr == to);
+        let is_running = target.is_some_and(|slot| slot.instance.borrow().is_some());
         if stop {
             run.stopped.set(true);
         }
-        compio::time::sleep(COPY).await;
-        if !lives {
-            return reply(Reply::NoRoom);
+        compio::time::sleep(COPY_TIME).await;
+        if !is_running {
+            return reply(Reply::NoCapacity);
         }
-        let handle = format!("c{}", self.next_name());
+        let handle = format!("c{}", self.next_number());
         self.copies.borrow_mut().insert(handle.clone(), (id.to_owned(), run.clone()));
         reply(Reply::Copied { handle, made: run.made.get() })
     }
 }
 
-/// Makes the events of a run until it is whole, stopped, or its upstream or reader is gone.
-async fn make_events(
+/// Produces events until the run is complete or stopped, or its upstream or reader is gone.
+async fn generate_events(
     mut tx: BodySender,
-    life: Rc<Life>,
+    instance: Rc<Instance>,
     id: RequestId,
     run: Rc<RunState>,
-    spoils: bool,
+    truncates: bool,
 ) {
     while run.made.get() < EVENTS {
         compio::time::sleep(BETWEEN_EVENTS).await;
-        let cut = spoils && run.made.get() > EVENTS / 2;
-        if run.stopped.get() || life.dead.get() || tx.is_closed() || cut {
-            run.over.set(true);
+        let truncated = truncates && run.made.get() > EVENTS / 2;
+        if run.stopped.get() || instance.ended.get() || tx.is_closed() || truncated {
+            run.finished.set(true);
             return tx.abort();
         }
         let n = run.made.get() + 1;
@@ -223,11 +247,11 @@
             break;
         }
     }
-    run.over.set(true);
+    run.finished.set(true);
 }
 
-/// Returns a body that breaks off.
-fn broken_body() -> Body {
+/// Returns a body that is aborted at once.
+fn aborted_body() -> Body {
     let (tx, body) = Body::stream(1);
     tx.abort();
     body
--- a/crates/soak/src/verify.rs
+++ b/crates/soak/src/verify.rs
@@ -1,211 +1,245 @@
-//! Compares what was seen with what is promised. No check asks how long something took.
+//! Checks the observations of a run against the guarantees of the system. No check depends on how
+//! long a request took.
 
 use std::collections::{BTreeMap, HashMap};
 
 use std::time::Duration;
 
 use crate::record::{
-    Begun, Call, ConfigSeen, End, Kind, LifeId, LimitedWork, Record, RequestId, RestedWork,
+    Call, ConfigEvent, InstanceId, LimitedRequest, Outcome, Record, RejectedRequest, RequestId,
+    RequestKind, RunStart,
 };
 
-/// Time after a life first named a limit from which on it binds, and the time over which requests
-/// are counted: as the platform counts them.
-const LIMIT_BINDS: Duration = Duration::from_secs(3);
+/// Time from the first request that an instance received under a limit until the limit is enforced,
+/// and the window over which requests are counted. Both match the platform's checks.
+const LIMIT_GRACE: Duration = Duration::from_secs(3);
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// Requests within that time: so many times what the limit says, and some.
-const LIMIT_OVER: f64 = 1.5;
+/// Requests allowed per window: this multiple of the limit, plus [`LIMIT_SLACK`].
+const LIMIT_TOLERANCE: f64 = 1.5;
 const LIMIT_SLACK: f64 = 5.0;
 
-/// Time after which a rest binds, and the requests of each box that may come within one all the same.
-const REST_BINDS: Duration = Duration::from_millis(500);
-const RESTED_A_BOX: usize = 2;
-/// Requests within a rest beside them: a box that starts anew knows of no rest until its first answers.
-const RESTED_SLACK: usize = 12;
+/// Time until a rest is enforced, and the number of requests that each box may still send during
+/// it.
+const REST_GRACE: Duration = Duration::from_millis(500);
+const REJECTED_PER_BOX: usize = 2;
+/// Additional requests allowed during a rest: a restarted box learns of the rest only from its
+/// first answers.
+const REJECTED_SLACK: usize = 12;
 
-/// A promise that was not kept.
+/// A guarantee that was violated.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Broken {
-    /// The promise.
-    pub promise: &'static str,
-    /// What was seen instead.
-    pub seen: String,
+pub struct Violation {
+    /// The guarantee.
+    pub property: &'static str,
+    /// The observation that contradicts it.
+    pub observed: String,
 }
 
-/// Returns every promise that the record shows broken.
-pub fn verify(record: &Record) -> Vec<Broken> {
+/// Returns all violations that the record shows.
+pub fn verify(record: &Record) -> Vec<Violation> {
     let calls = record.calls.borrow();
-    let mut runs: HashMap<RequestId, Vec<Begun>> = HashMap::new();
+    let mut runs: HashMap<RequestId, Vec<RunStart>> = HashMap::new();
     for run in record.runs.borrow().iter() {
         runs.entry(run.id.clone()).or_default().push(run.clone());
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (id, call) in calls.iter() {
-        let begun = runs.get(id).map_or(&[][..], Vec::as_slice);
-        broken.extend(check_call(id, call, begun));
+        let call_runs = runs.get(id).map_or(&[][..], Vec::as_slice);
+        violations.extend(check_call(id, call, call_runs));
     }
-    broken.extend(check_unasked(&calls, &runs));
-    broken.extend(check_reads(record));
-    broken.extend(check_markers(&calls));
-    broken.extend(check_limits(&record.limited.borrow()));
-    broken.extend(check_rests(&record.rested.borrow(), record.boxes.get()));
-    let late = record.late_work.borrow();
-    broken.extend(late.iter().map(|seen| Broken {
-        promise: "an upstream that leaves gets no new work after a few seconds",
-        seen: seen.clone(),
+    violations.extend(check_unknown_runs(&calls, &runs));
+    violations.extend(check_reads(record));
+    violations.extend(check_config_order(&calls));
+    violations.extend(check_limits(&record.limited.borrow()));
+    violations.extend(check_rests(&record.rejected.borrow(), record.boxes.get()));
+    let late_requests = record.late_requests.borrow();
+    violations.extend(late_requests.iter().map(|observed| Violation {
+        property: "a leaving upstream receives no new requests after a few seconds",
+        observed: observed.clone(),
     }));
-    broken.sort();
-    broken
+    violations.sort();
+    violations
 }
 
-/// Checks what one caller got against what upstreams ran for it.
-fn check_call(id: &str, call: &Call, runs: &[Begun]) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    let mut note = |promise, seen: String| broken.push(Broken { promise, seen });
-    let lives: Vec<&str> = runs.iter().map(|run| run.life.as_str()).collect();
-    if let End::Wrong(what) = &call.end {
-        note("a caller gets its own whole answer", format!("{id}: {what}"));
+/// Checks the outcome of one request against its runs at upstreams.
+fn check_call(id: &str, call: &Call, runs: &[RunStart]) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut report = |property, observed: String| violations.push(Violation { property, observed });
+    let instances: Vec<&str> = runs.iter().map(|run| run.instance.as_str()).collect();
+    if let Outcome::Wrong(what) = &call.outcome {
+        report("a caller receives its own complete answer", format!("{id}: {what}"));
     }
-    let from_scratch = runs.iter().filter(|run| !run.resumed).count();
-    if matches!(call.kind, Kind::Once | Kind::Stream) && from_scratch > 1 {
-        note("what must not be repeated runs once", format!("{id}: ran at {lives:?}"));
+    let fresh_runs = runs.iter().filter(|run| !run.resumed).count();
+    if matches!(call.kind, RequestKind::Once | RequestKind::Stream) && fresh_runs > 1 {
+        report("a non-repeatable request runs at most once", format!("{id}: ran at {instances:?}"));
     }
-    if runs.iter().any(|run| run.beside_another) {
-        note("a generation goes on at one runner at a time", format!("{id}: ran at {lives:?}"));
+    if runs.iter().any(|run| run.concurrent) {
+        report(
+            "a generation runs at one upstream at a time",
+            format!("{id}: ran at {instances:?}"),
+        );
     }
-    if call.end == End::Refused && !runs.is_empty() {
-        note("what is refused as not run was not run", format!("{id}: ran at {lives:?}"));
+    if call.outcome == Outcome::Refused && !runs.is_empty() {
+        report(
+            "a request that is refused as not run was not run",
+            format!("{id}: ran at {instances:?}"),
+        );
     }
-    let cut = matches!(call.end, End::Broken(_) | End::Failed(500..) | End::Unanswered);
-    if call.calm.is_some() && cut && !runs.is_empty() {
-        let seen = format!("{id}: {:?}, ran at {lives:?}", call.end);
-        note("planned work cuts off no request", seen);
+    let interrupted =
+        matches!(call.outcome, Outcome::Broken(_) | Outcome::Failed(500..) | Outcome::Unanswered);
+    if call.calm.is_some() && interrupted && !runs.is_empty() {
+        let observed = format!("{id}: {:?}, ran at {instances:?}", call.outcome);
+        report("maintenance interrupts no request", observed);
     }
-    broken
+    violations
 }
 
-/// All boxes together keep the limits that upstreams name, outside of storms.
-fn check_limits(limited: &[LimitedWork]) -> Vec<Broken> {
-    let mut lives: BTreeMap<&LifeId, Vec<&LimitedWork>> = BTreeMap::new();
-    for work in limited {
-        lives.entry(&work.life).or_default().push(work);
+/// Checks that all boxes together respect the rate limits of upstreams in calm phases.
+fn check_limits(limited: &[LimitedRequest]) -> Vec<Violation> {
+    let mut instances: BTreeMap<&InstanceId, Vec<&LimitedRequest>> = BTreeMap::new();
+    for request in limited {
+        instances.entry(&request.instance).or_default().push(request);
     }
-    lives.into_iter().filter_map(|(life, works)| check_limit(life, &works)).collect()
+    instances
+        .into_iter()
+        .filter_map(|(instance, requests)| check_limit(instance, &requests))
+        .collect()
 }
 
-fn check_limit(life: &str, works: &[&LimitedWork]) -> Option<Broken> {
-    let first = works.first()?;
+fn check_limit(instance: &str, requests: &[&LimitedRequest]) -> Option<Violation> {
+    let first = requests.first()?;
     let per_second = first.per_second;
-    // A life may name another limit in a later round; then each is counted by itself.
-    let bound = works.iter().filter(|work| {
-        work.per_second == per_second && work.calm.is_some() && work.at - first.at >= LIMIT_BINDS
+    // An instance may announce a different limit in a later round. Only requests under the first
+    // limit are checked.
+    let counted = requests.iter().filter(|request| {
+        request.per_second == per_second
+            && request.calm.is_some()
+            && request.at - first.at >= LIMIT_GRACE
     });
-    let bound: Vec<&&LimitedWork> = bound.collect();
-    let within = |from: &&&LimitedWork| {
-        let same = |work: &&&&LimitedWork| {
-            work.calm == from.calm && work.at >= from.at && work.at - from.at < LIMIT_WINDOW
+    let counted: Vec<&&LimitedRequest> = counted.collect();
+    let within = |from: &&&LimitedRequest| {
+        let in_window = |request: &&&&LimitedRequest| {
+            request.calm == from.calm
+                && request.at >= from.at
+                && request.at - from.at < LIMIT_WINDOW
         };
-        bound.iter().filter(same).count()
+        counted.iter().filter(in_window).count()
     };
-    let most = bound.iter().map(within).max()?;
-    let allowed = per_second * LIMIT_WINDOW.as_secs_f64() * LIMIT_OVER + LIMIT_SLACK;
-    (most as f64 > allowed).then(|| Broken {
-        promise: "all boxes together keep the limit that an upstream names",
-        seen: format!("{life} named {per_second} a second and got {most} within {LIMIT_WINDOW:?}"),
+    let max_count = counted.iter().map(within).max()?;
+    let allowed = per_second * LIMIT_WINDOW.as_secs_f64() * LIMIT_TOLERANCE + LIMIT_SLACK;
+    (max_count as f64 > allowed).then(|| Violation {
+        property: "all boxes together respect the rate limit of an upstream",
+        observed: format!(
+            "{instance} announced {per_second} requests/s and received {max_count} within {LIMIT_WINDOW:?}"
+        ),
     })
 }
 
-/// Each box keeps the rests that upstreams ask it for, outside of storms. Which box sent a request is
-/// not known, so all of them are counted together.
-fn check_rests(rested: &[RestedWork], boxes: usize) -> Vec<Broken> {
-    let mut lives: BTreeMap<&LifeId, Vec<&RestedWork>> = BTreeMap::new();
-    for work in rested {
-        lives.entry(&work.life).or_default().push(work);
+/// Checks that each box respects the rests that upstreams ask for in calm phases. The record does
+/// not tell which box sent a request, so all boxes are counted together.
+fn check_rests(rejected: &[RejectedRequest], boxes: usize) -> Vec<Violation> {
+    let mut instances: BTreeMap<&InstanceId, Vec<&RejectedRequest>> = BTreeMap::new();
+    for request in rejected {
+        instances.entry(&request.instance).or_default().push(request);
     }
-    lives.into_iter().filter_map(|(life, works)| check_rest(life, &works, boxes)).collect()
+    instances
+        .into_iter()
+        .filter_map(|(instance, requests)| check_rest(instance, &requests, boxes))
+        .collect()
 }
 
-fn check_rest(life: &str, works: &[&RestedWork], boxes: usize) -> Option<Broken> {
-    let first = works.first()?;
-    let is_bound = |work: &&&RestedWork| work.calm.is_some() && work.at - first.at >= REST_BINDS;
-    let bound: Vec<&RestedWork> = works.iter().filter(is_bound).copied().collect();
-    let within = |from: &&RestedWork| {
+fn check_rest(instance: &str, requests: &[&RejectedRequest], boxes: usize) -> Option<Violation> {
+    let first = requests.first()?;
+    let is_counted =
+        |request: &&&RejectedRequest| request.calm.is_some() && request.at - first.at >= REST_GRACE;
+    let counted: Vec<&RejectedRequest> = requests.iter().filter(is_counted).copied().collect();
+    let within = |from: &&RejectedRequest| {
         let until = from.at + from.rest;
-        let same =
-            |work: &&&RestedWork| work.calm == from.calm && work.at >= from.at && work.at < until;
-        bound.iter().filter(same).count()
+        let in_window = |request: &&&RejectedRequest| {
+            request.calm == from.calm && request.at >= from.at && request.at < until
+        };
+        counted.iter().filter(in_window).count()
     };
-    let most = bound.iter().map(within).max()?;
-    (most > RESTED_A_BOX * boxes + RESTED_SLACK).then(|| Broken {
-        promise: "each box keeps the rest that an upstream asks it for",
-        seen: format!("{life} asked for {:?} and got {most} from {boxes} boxes", first.rest),
+    let max_count = counted.iter().map(within).max()?;
+    (max_count > REJECTED_PER_BOX * boxes + REJECTED_SLACK).then(|| Violation {
+        property: "each box respects the rest that an upstream asks for",
+        observed: format!(
+            "{instance} asked for {:?} and received {max_count} requests from {boxes} boxes",
+            first.rest
+        ),
     })
 }
 
-/// Upstreams run what callers sent, and nothing else.
-fn check_unasked(
+/// Checks that upstreams run only requests that callers sent.
+fn check_unknown_runs(
     calls: &BTreeMap<RequestId, Call>,
-    runs: &HashMap<RequestId, Vec<Begun>>,
-) -> Vec<Broken> {
-    let unasked = runs.keys().filter(|id| !calls.contains_key(*id));
-    let broken = unasked.map(|id| Broken {
-        promise: "only what callers sent is run",
-        seen: format!("{id} was run and nobody sent it"),
+    runs: &HashMap<RequestId, Vec<RunStart>>,
+) -> Vec<Violation> {
+    let unknown = runs.keys().filter(|id| !calls.contains_key(*id));
+    let violations = unknown.map(|id| Violation {
+        property: "only requests that callers sent are run",
+        observed: format!("{id} was run but never sent"),
     });
-    broken.collect()
+    violations.collect()
 }
 
-/// Reads show what was acknowledged before they were asked for, or something newer, and one
-/// content under each number.
-fn check_reads(record: &Record) -> Vec<Broken> {
+/// Checks that a read returns the configuration acknowledged before it was sent, or a newer one,
+/// and that each number has one content.
+fn check_reads(record: &Record) -> Vec<Violation> {
     let configs = record.configs.borrow();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut texts: HashMap<u64, &str> = HashMap::new();
-    for seen in configs.iter() {
-        let ConfigSeen::Read { number, text, asked } = seen else { continue };
-        let floor = record.acknowledged_before(*asked);
-        if *number < floor {
-            broken.push(Broken {
-                promise: "a read shows the newest configuration",
-                seen: format!("{number} after {floor} was acknowledged"),
+    for event in configs.iter() {
+        let ConfigEvent::Read { number, text, asked_at } = event else { continue };
+        let acknowledged = record.acknowledged_before(*asked_at);
+        if *number < acknowledged {
+            violations.push(Violation {
+                property: "a read returns the newest acknowledged configuration",
+                observed: format!("read {number} after {acknowledged} was acknowledged"),
             });
         }
-        let first = *texts.entry(*number).or_insert(text);
-        if first != text {
-            broken.push(Broken {
-                promise: "a number has one content",
-                seen: format!("{number} was read with two contents"),
+        let first_text = *texts.entry(*number).or_insert(text);
+        if first_text != text {
+            violations.push(Violation {
+                property: "a configuration number has one content",
+                observed: format!("{number} was read with two contents"),
             });
         }
     }
-    broken
+    violations
 }
 
-/// One life of a box never serves by an older configuration than it did before.
-fn check_markers(calls: &BTreeMap<RequestId, Call>) -> Vec<Broken> {
-    let mut served: HashMap<(usize, u64), Vec<Served<'_>>> = HashMap::new();
+/// Checks that an entry process never serves an older configuration after a newer one, until it
+/// restarts.
+fn check_config_order(calls: &BTreeMap<RequestId, Call>) -> Vec<Violation> {
+    let mut served: HashMap<(usize, u64), Vec<MarkerAnswer<'_>>> = HashMap::new();
     for (id, call) in calls {
-        if let (Kind::Marker(number), End::Answered) = (call.kind, &call.end) {
-            served.entry(call.sent_to).or_default().push(Served { id, number, call });
+        if let (RequestKind::Marker(number), Outcome::Answered) = (call.kind, &call.outcome) {
+            served.entry(call.sent_to).or_default().push(MarkerAnswer { id, number, call });
         }
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for answers in served.values() {
-        for Served { id, number, call } in answers {
-            let newer =
-                answers.iter().find(|other| other.number > *number && other.call.ended < call.sent);
+        for MarkerAnswer { id, number, call } in answers {
+            let newer = answers
+                .iter()
+                .find(|other| other.number > *number && other.call.ended_at < call.sent_at);
             if let Some(newer) = newer {
-                broken.push(Broken {
-                    promise: "a box never goes back to an older configuration",
-                    seen: format!("{id}: served by {number} after {}", newer.number),
+                violations.push(Violation {
+                    property: "a box never returns to an older configuration",
+                    observed: format!(
+                        "{id}: served by configuration {number} after {}",
+                        newer.number
+                    ),
                 });
             }
         }
     }
-    broken
+    violations
 }
 
-/// A request that was served by the configuration of a number.
-struct Served<'a> {
+/// An answered request on the marker route of a configuration.
+struct MarkerAnswer<'a> {
     id: &'a str,
     number: u64,
     call: &'a Call,
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,4 +1,4 @@
-//! What the programs under test speak, as functions that an adapter gives.
+//! Protocol of the programs under test, as functions that an adapter supplies.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -9,184 +9,184 @@
 use http::response::Parts as ResponseParts;
 use http::{Request, Response};
 
-use crate::record::{Kind, LifeId, RequestId};
+use crate::record::{InstanceId, RequestId, RequestKind};
 
-/// What a process of a box does.
+/// Role of a process in a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Takes callers' requests in.
+    /// Accepts requests from callers.
     Entry,
-    /// Keeps configuration and the list of upstreams.
+    /// Holds the configuration and the list of upstreams.
     Control,
 }
 
-/// Ports of a box; all boxes use the same.
+/// Ports of a box, the same in all boxes.
 #[derive(Debug, Clone, Copy)]
 pub struct Ports {
-    /// First and last of those between boxes.
+    /// First and last port for traffic between boxes.
     pub boxes: [u16; 2],
-    /// The product's own interfaces of the two processes.
+    /// Ports of the product's own interfaces, of the entry and the control process.
     pub own: [u16; 2],
-    /// Callers' requests.
+    /// Port for requests from callers.
     pub front: u16,
-    /// Whether the box is ready.
+    /// Port for readiness checks.
     pub ready: u16,
-    /// Where callers should go.
+    /// Port at which callers look up entry addresses.
     pub directory: u16,
-    /// Operators and upstreams.
+    /// Port for operators and upstreams.
     pub control: u16,
 }
 
-/// How one box is set up.
+/// Setup of one box.
 #[derive(Debug, Clone)]
 pub struct BoxPlan {
     /// Failure domain.
-    pub domain: String,
-    /// Address that everybody uses, which is the proxy's.
+    pub failure_domain: String,
+    /// Public address of the box, which is that of its proxies.
     pub ip: Ipv4Addr,
     /// Address at which the processes listen.
     pub listen_ip: Ipv4Addr,
     /// Ports.
     pub ports: Ports,
     /// Whether the box has a control process.
-    pub control: bool,
-    /// Folder for what must outlive the control process; `None` for a box without a disk.
-    pub data: Option<PathBuf>,
-    /// Whether the whole system starts for the first time.
+    pub has_control: bool,
+    /// Folder for data that outlives the control process; `None` for a box without a disk.
+    pub data_folder: Option<PathBuf>,
+    /// Whether this is the first start of the whole fleet.
     pub first_start: bool,
-    /// Control boxes that the settings name.
+    /// Control addresses of the boxes that hold the log, listed in the settings.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What a caller sends.
+/// A request from a caller.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// What it asks for.
-    pub kind: Kind,
+    /// Kind of the request.
+    pub kind: RequestKind,
     /// How long the caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
-/// What the head of an answer to a caller says.
+/// Result that the head of an answer conveys to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerHead {
-    /// A success that an upstream signed.
+    /// Success, signed by an upstream.
     Signed,
-    /// A success that nobody signed.
+    /// Success without a signature.
     Unsigned,
     /// The request was not run and will not be.
     NotRun,
-    /// Another failure.
+    /// Another failure, with its HTTP status.
     Failed(u16),
 }
 
-/// What an upstream is asked for.
+/// A request that a box sends to an upstream.
 #[derive(Debug, Clone)]
-pub enum Ask {
-    /// To run a request.
+pub enum UpstreamRequest {
+    /// Runs a request.
     Run {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The life that is meant.
-        life: LifeId,
-        /// Whether it answers with a stream of events.
+        /// Instance that the request is addressed to.
+        instance: InstanceId,
+        /// Whether the answer is a stream of events.
         stream: bool,
-        /// Where a stopped run goes on: the name of its copy, and the last event delivered.
+        /// Handle of the copy to resume from, and the last event that was delivered.
         resume: Option<(String, u64)>,
     },
-    /// To copy a run to another upstream.
+    /// Copies a run to another upstream.
     Copy {
-        /// The request that runs.
+        /// Id of the request whose run is copied.
         id: RequestId,
-        /// Where the other upstream listens.
+        /// Address of the other upstream.
         to: SocketAddr,
-        /// Whether the run stops first.
+        /// Whether the run stops before it is copied.
         stop: bool,
     },
-    /// Something that upstreams here do not do.
+    /// A request that the simulated upstreams do not support.
     Other,
 }
 
-/// What an upstream says other than by running a request.
+/// Answer of an upstream that is not the result of a run.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// It did not run the request.
+    /// The request was not run.
     NotRun,
-    /// Another life has the address.
-    OtherLife,
+    /// The request is addressed to another instance than the current one.
+    WrongInstance,
     /// The copy was made.
     Copied {
-        /// Its name.
+        /// Handle of the copy.
         handle: String,
-        /// Events that the run had made.
+        /// Number of events that the run had produced.
         made: u64,
     },
-    /// There is no such run.
+    /// No such run exists.
     NoSuchRun,
-    /// The other upstream takes no copy.
-    NoRoom,
-    /// The call is not known here.
+    /// The other upstream accepts no copy.
+    NoCapacity,
+    /// The request is not supported.
     Unknown,
 }
 
-/// An upstream as it announces itself.
+/// Announcement that an upstream sends about itself.
 #[derive(Debug, Clone)]
 pub struct Announcement {
-    /// Its life.
-    pub life: LifeId,
-    /// Whether it is an engine, and not a plain service.
+    /// Instance of the upstream.
+    pub instance: InstanceId,
+    /// Whether it is an engine rather than a plain service.
     pub engine: bool,
-    /// Where boxes reach it.
+    /// Address at which boxes reach it.
     pub addr: SocketAddr,
     /// Failure domain.
-    pub domain: String,
-    /// Whether it leaves.
-    pub leaves: bool,
-    /// Rises with each announcement of a life.
+    pub failure_domain: String,
+    /// Whether the upstream is leaving.
+    pub is_leaving: bool,
+    /// Number that increases with each announcement of an instance.
     pub sequence: u64,
 }
 
-/// The protocol of the programs under test.
+/// Protocol adapter for the programs under test.
 #[derive(Clone, Copy)]
 pub struct Wire {
-    /// The program.
+    /// Name of the program.
     pub program: &'static str,
-    /// Its arguments for a role and a settings file.
+    /// Returns the arguments for a role and a settings file.
     pub arguments: fn(Role, &Path) -> Vec<String>,
-    /// The text of a box's settings file.
+    /// Returns the text of a box's settings file.
     pub settings: fn(&BoxPlan) -> String,
-    /// A caller's request.
+    /// Builds a caller's request.
     pub request: fn(&CallerRequest) -> Request<Body>,
-    /// Reads the head of an answer.
+    /// Interprets the head of an answer to a caller.
     pub read_head: fn(&ResponseParts) -> AnswerHead,
-    /// Asks which addresses to use.
+    /// Builds the lookup of entry addresses for a failure domain.
     pub addresses: fn(&str) -> Request<Body>,
-    /// Reads the answer to that.
+    /// Parses the answer to the address lookup.
     pub read_addresses: fn(&[u8]) -> Vec<SocketAddr>,
-    /// Asks whether a box takes requests.
+    /// Builds the readiness check of a box.
     pub ready: fn() -> Request<Body>,
-    /// Reads what an upstream is asked for.
-    pub read_ask: fn(&RequestParts, &[u8]) -> Ask,
-    /// Says something other than an answer.
+    /// Parses a request that an upstream received.
+    pub read_upstream_request: fn(&RequestParts, &[u8]) -> UpstreamRequest,
+    /// Builds an upstream's answer that is not the result of a run.
     pub reply: fn(&Reply) -> Response<Body>,
-    /// An upstream's answer to a request that it ran: id, whether it is a stream, body.
+    /// Builds the answer to a request that ran, from its id, whether it is a stream, and the body.
     pub answer: fn(&str, bool, Body) -> Response<Body>,
-    /// Has an upstream's answer name the requests a second that it takes from all boxes together.
-    pub name_limit: fn(&mut Response<Body>, f64),
-    /// Has an upstream that turns a request away ask for rest.
-    pub ask_rest: fn(&mut Response<Body>, Duration),
-    /// Has an upstream's answer say that it leaves.
-    pub say_leaving: fn(&mut Response<Body>),
-    /// Announces an upstream.
+    /// Adds a rate limit to an upstream's answer, in requests per second from all boxes together.
+    pub set_limit: fn(&mut Response<Body>, f64),
+    /// Adds the rest that an upstream asks for to its answer.
+    pub set_rest: fn(&mut Response<Body>, Duration),
+    /// Marks an upstream's answer as coming from a leaving upstream.
+    pub mark_leaving: fn(&mut Response<Body>),
+    /// Builds the announcement of an upstream.
     pub announce: fn(&Announcement) -> Request<Body>,
-    /// Ends the life of an upstream.
-    pub end_life: fn(&str) -> Request<Body>,
-    /// The text of a configuration: its number, and which of several under it.
+    /// Builds the message that ends an upstream instance.
+    pub end_instance: fn(&str) -> Request<Body>,
+    /// Returns the text of a configuration, from its number and a content variant.
     pub config: fn(u64, u64) -> String,
-    /// Puts a configuration in force.
+    /// Builds the request that installs a configuration.
     pub put_config: fn(String) -> Request<Body>,
-    /// Reads the newest configuration.
+    /// Builds the request that reads the newest configuration.
     pub get_config: fn() -> Request<Body>,
 }
--- a/crates/soak/tests/verify.rs
+++ b/crates/soak/tests/verify.rs
@@ -1,174 +1,178 @@
-//! Each promise that the soak checks is seen broken on a record that shows it broken.
+//! For each guarantee that the soak checks, tests that a record which violates it is reported.
 
 use std::time::{Duration, Instant};
 
-use hatchpitch_soak::record::{Begun, ConfigSeen, End, Kind, LimitedWork, Record, RestedWork};
+use hatchpitch_soak::record::{
+    ConfigEvent, LimitedRequest, Outcome, Record, RejectedRequest, RequestKind, RunStart,
+};
 use hatchpitch_soak::verify::verify;
 
-fn begun(id: &str, life: &str) -> Begun {
-    Begun { id: id.to_owned(), life: life.to_owned(), resumed: false, beside_another: false }
+fn run_start(id: &str, instance: &str) -> RunStart {
+    RunStart { id: id.to_owned(), instance: instance.to_owned(), resumed: false, concurrent: false }
 }
 
-/// Notes a request to box 0 that runs at `lives` and ends as `end`.
-fn call(record: &Record, id: &str, kind: Kind, lives: &[&str], end: End) {
+/// Records a request to box 0 that starts runs at `instances` and has the given outcome.
+fn call(record: &Record, id: &str, kind: RequestKind, instances: &[&str], outcome: Outcome) {
     record.begin(id, kind, (0, 1));
-    record.runs.borrow_mut().extend(lives.iter().map(|life| begun(id, life)));
-    record.end(id, end);
+    record.runs.borrow_mut().extend(instances.iter().map(|instance| run_start(id, instance)));
+    record.finish(id, outcome);
 }
 
-/// Asserts that exactly one promise, named by a part of its text, is shown broken.
-fn assert_broken(record: &Record, promise: &str) {
-    let broken = verify(record);
-    assert_eq!(broken.len(), 1, "{broken:?}");
-    assert!(broken[0].promise.contains(promise), "{broken:?}");
+/// Asserts that exactly one violation is found and that its guarantee contains `property`.
+fn assert_violation(record: &Record, property: &str) {
+    let violations = verify(record);
+    assert_eq!(violations.len(), 1, "{violations:?}");
+    assert!(violations[0].property.contains(property), "{violations:?}");
 }
 
 #[test]
-fn a_record_of_whole_answers_and_true_refusals_shows_nothing() {
+fn valid_answers_and_refusals_are_accepted() {
     let record = Record::default();
     record.set_calm(Some(0));
-    call(&record, "a", Kind::Once, &["u0"], End::Answered);
-    call(&record, "b", Kind::Once, &[], End::Refused);
-    call(&record, "c", Kind::Repeatable, &["u0", "u1"], End::Answered);
-    // Not read by anybody, as on a connection that the box closes.
-    call(&record, "d", Kind::Once, &[], End::Broken("closed".to_owned()));
+    call(&record, "a", RequestKind::Once, &["u0"], Outcome::Answered);
+    call(&record, "b", RequestKind::Once, &[], Outcome::Refused);
+    call(&record, "c", RequestKind::Repeatable, &["u0", "u1"], Outcome::Answered);
+    // The request never reached an upstream, as when the box closes an idle connection.
+    call(&record, "d", RequestKind::Once, &[], Outcome::Broken("closed".to_owned()));
     record.set_calm(None);
-    call(&record, "e", Kind::Stream, &["u0"], End::Broken("crash".to_owned()));
+    call(&record, "e", RequestKind::Stream, &["u0"], Outcome::Broken("crash".to_owned()));
     assert_eq!(verify(&record), []);
 }
 
 #[test]
-fn wrong_answers_and_second_runs_are_found() {
+fn wrong_answers_and_repeated_runs_are_reported() {
     let record = Record::default();
-    call(&record, "a", Kind::Repeatable, &["u0"], End::Wrong("another's".to_owned()));
-    assert_broken(&record, "its own whole answer");
-    for kind in [Kind::Once, Kind::Stream] {
+    call(&record, "a", RequestKind::Repeatable, &["u0"], Outcome::Wrong("another's".to_owned()));
+    assert_violation(&record, "its own complete answer");
+    for kind in [RequestKind::Once, RequestKind::Stream] {
         let record = Record::default();
-        call(&record, "a", kind, &["u0", "u1"], End::Answered);
-        assert_broken(&record, "runs once");
+        call(&record, "a", kind, &["u0", "u1"], Outcome::Answered);
+        assert_violation(&record, "runs at most once");
     }
     let record = Record::default();
-    call(&record, "a", Kind::Stream, &["u0"], End::Answered);
-    let beside = Begun { resumed: true, beside_another: true, ..begun("a", "u1") };
-    record.runs.borrow_mut().push(beside);
-    assert_broken(&record, "one runner at a time");
+    call(&record, "a", RequestKind::Stream, &["u0"], Outcome::Answered);
+    let concurrent_run = RunStart { resumed: true, concurrent: true, ..run_start("a", "u1") };
+    record.runs.borrow_mut().push(concurrent_run);
+    assert_violation(&record, "one upstream at a time");
 }
 
 #[test]
-fn false_refusals_and_unasked_runs_are_found() {
+fn false_refusals_and_unknown_runs_are_reported() {
     let record = Record::default();
-    call(&record, "a", Kind::Repeatable, &["u0"], End::Refused);
-    assert_broken(&record, "was not run");
+    call(&record, "a", RequestKind::Repeatable, &["u0"], Outcome::Refused);
+    assert_violation(&record, "was not run");
     let record = Record::default();
-    record.runs.borrow_mut().push(begun("nobody", "u0"));
-    assert_broken(&record, "what callers sent");
+    record.runs.borrow_mut().push(run_start("nobody", "u0"));
+    assert_violation(&record, "that callers sent");
 }
 
 #[test]
-fn requests_that_planned_work_cuts_off_are_found() {
-    for end in [End::Broken("closed".to_owned()), End::Failed(502), End::Unanswered] {
+fn requests_interrupted_by_maintenance_are_reported() {
+    for outcome in [Outcome::Broken("closed".to_owned()), Outcome::Failed(502), Outcome::Unanswered]
+    {
         let record = Record::default();
         record.set_calm(Some(3));
-        call(&record, "a", Kind::Once, &["u0"], end);
-        assert_broken(&record, "cuts off no request");
+        call(&record, "a", RequestKind::Once, &["u0"], outcome);
+        assert_violation(&record, "interrupts no request");
     }
-    // A request that began or ended outside the calm part says nothing of it.
+    // A request that starts or ends outside of the calm phase is not checked.
     let record = Record::default();
-    record.begin("a", Kind::Once, (0, 1));
-    record.runs.borrow_mut().push(begun("a", "u0"));
+    record.begin("a", RequestKind::Once, (0, 1));
+    record.runs.borrow_mut().push(run_start("a", "u0"));
     record.set_calm(Some(3));
-    record.end("a", End::Failed(502));
+    record.finish("a", Outcome::Failed(502));
     assert_eq!(verify(&record), []);
 }
 
 #[test]
-fn reads_of_older_or_changing_configurations_are_found() {
+fn stale_reads_and_changed_contents_are_reported() {
     let read = |record: &Record, number, text: &str| {
-        let seen = ConfigSeen::Read { number, text: text.to_owned(), asked: record.tick() };
-        record.configs.borrow_mut().push(seen);
+        let event = ConfigEvent::Read { number, text: text.to_owned(), asked_at: record.tick() };
+        record.configs.borrow_mut().push(event);
     };
     let record = Record::default();
     let at = record.tick();
-    record.configs.borrow_mut().push(ConfigSeen::Acknowledged { number: 7, at });
+    record.configs.borrow_mut().push(ConfigEvent::Acknowledged { number: 7, at });
     read(&record, 7, "seven");
     read(&record, 9, "nine");
     assert_eq!(verify(&record), []);
     read(&record, 6, "six");
-    assert_broken(&record, "newest configuration");
+    assert_violation(&record, "newest acknowledged configuration");
     let record = Record::default();
     read(&record, 7, "seven");
     read(&record, 7, "another seven");
-    assert_broken(&record, "one content");
+    assert_violation(&record, "one content");
 }
 
 #[test]
-fn boxes_that_go_back_to_older_routes_are_found() {
+fn returning_to_an_older_configuration_is_reported() {
     let record = Record::default();
-    call(&record, "a", Kind::Marker(5), &["u0"], End::Answered);
-    call(&record, "b", Kind::Marker(7), &["u0"], End::Answered);
-    call(&record, "c", Kind::Marker(5), &[], End::Failed(404));
+    call(&record, "a", RequestKind::Marker(5), &["u0"], Outcome::Answered);
+    call(&record, "b", RequestKind::Marker(7), &["u0"], Outcome::Answered);
+    call(&record, "c", RequestKind::Marker(5), &[], Outcome::Failed(404));
     assert_eq!(verify(&record), []);
-    call(&record, "d", Kind::Marker(5), &["u0"], End::Answered);
-    assert_broken(&record, "older configuration");
-    // Another life of the box may begin with an older one.
+    call(&record, "d", RequestKind::Marker(5), &["u0"], Outcome::Answered);
+    assert_violation(&record, "older configuration");
+    // After a restart, the entry process may start with an older configuration.
     let record = Record::default();
-    call(&record, "a", Kind::Marker(7), &["u0"], End::Answered);
-    record.begin("b", Kind::Marker(5), (0, 2));
-    record.runs.borrow_mut().push(begun("b", "u0"));
-    record.end("b", End::Answered);
+    call(&record, "a", RequestKind::Marker(7), &["u0"], Outcome::Answered);
+    record.begin("b", RequestKind::Marker(5), (0, 2));
+    record.runs.borrow_mut().push(run_start("b", "u0"));
+    record.finish("b", Outcome::Answered);
     assert_eq!(verify(&record), []);
 }
 
 #[test]
-fn late_work_at_a_leaver_is_found() {
+fn late_requests_at_a_leaving_upstream_are_reported() {
     let record = Record::default();
-    record.late_work.borrow_mut().push("a reached u0".to_owned());
-    assert_broken(&record, "leaves gets no new work");
+    record.late_requests.borrow_mut().push("a reached u0".to_owned());
+    assert_violation(&record, "leaving upstream receives no new requests");
 }
 
 #[test]
-fn requests_beyond_a_limit_are_found() {
+fn requests_beyond_a_limit_are_reported() {
     let per_second = 2.0;
     let start = Instant::now();
-    // From 3 s after the first one on, within 4 s, so many times what the limit says, and 5.
+    // Counting starts 3 s after the first request. A window of 4 s allows 1.5 times the limit
+    // plus 5 requests.
     let allowed = 17;
-    for (count, calm, is_broken) in
+    for (count, calm, is_violation) in
         [(allowed, Some(0), false), (allowed + 1, Some(0), true), (allowed + 1, None, false)]
     {
         let record = Record::default();
-        let work = |ms: u64, calm| LimitedWork {
-            life: "u0".to_owned(),
+        let request = |ms: u64, calm| LimitedRequest {
+            instance: "u0".to_owned(),
             per_second,
             at: start + Duration::from_millis(ms),
             calm,
         };
-        record.limited.borrow_mut().push(work(0, None));
-        record.limited.borrow_mut().extend((0..count).map(|n| work(3_000 + n * 100, calm)));
-        let broken = verify(&record);
-        assert_eq!(!broken.is_empty(), is_broken, "{count} {calm:?}: {broken:?}");
+        record.limited.borrow_mut().push(request(0, None));
+        record.limited.borrow_mut().extend((0..count).map(|n| request(3_000 + n * 100, calm)));
+        let violations = verify(&record);
+        assert_eq!(!violations.is_empty(), is_violation, "{count} {calm:?}: {violations:?}");
     }
 }
 
 #[test]
-fn requests_within_a_rest_are_found() {
+fn requests_during_a_rest_are_reported() {
     let start = Instant::now();
-    // Two of each box, and a dozen.
+    // Two requests per box, plus a slack of 12.
     let allowed = 2 * 3 + 12;
-    for (count, calm, is_broken) in
+    for (count, calm, is_violation) in
         [(allowed, Some(0), false), (allowed + 1, Some(0), true), (allowed + 1, None, false)]
     {
         let record = Record::default();
         record.boxes.set(3);
-        let work = |ms: u64, calm| RestedWork {
-            life: "u0".to_owned(),
+        let request = |ms: u64, calm| RejectedRequest {
+            instance: "u0".to_owned(),
             rest: Duration::from_secs(3),
             at: start + Duration::from_millis(ms),
             calm,
         };
-        // What comes before a rest binds does not count.
-        record.rested.borrow_mut().extend((0..20).map(|n| work(n * 20, calm)));
-        record.rested.borrow_mut().extend((0..count).map(|n| work(600 + n * 100, calm)));
-        let broken = verify(&record);
-        assert_eq!(!broken.is_empty(), is_broken, "{count} {calm:?}: {broken:?}");
+        // Requests before the rest is enforced do not count.
+        record.rejected.borrow_mut().extend((0..20).map(|n| request(n * 20, calm)));
+        record.rejected.borrow_mut().extend((0..count).map(|n| request(600 + n * 100, calm)));
+        let violations = verify(&record);
+        assert_eq!(!violations.is_empty(), is_violation, "{count} {calm:?}: {violations:?}");
     }
 }
