--- a/crates/hatchpitch/tests/fleet_size.rs
+++ b/crates/hatchpitch/tests/fleet_size.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use hatchpitch::registry::follow::question_period;
+use hatchpitch::registry::follow::poll_interval;
 use hatchpitch::registry::{Detail, Phase, Roster, Table, UpstreamRecord};
 
 /// Number of upstreams that serve at a time.
@@ -67,7 +67,7 @@
         let answer = table.changes(epoch, have, follower.detail, now);
         let (more, bytes) =
             (answer.more, rmp_serde::to_vec_named(&answer).unwrap().len() + OVERHEAD);
-        follower.roster.take(source, follower.detail, answer, now).unwrap();
+        follower.roster.apply_answer(source, follower.detail, answer, now).unwrap();
         (more, bytes)
     };
     for (follower, _) in &mut kinds {
@@ -100,7 +100,7 @@
 #[test]
 fn registry_traffic_of_300_boxes_and_3000_upstreams_is_bounded() {
     let each = FOLLOWERS / CONTROL;
-    let rate = usize::try_from(1_000 / question_period(UPSTREAMS).as_millis()).unwrap();
+    let rate = usize::try_from(1_000 / poll_interval(UPSTREAMS).as_millis()).unwrap();
     // Each entry box gets all news from one control box, and departures from a second one once a
     // second.
     let followers = [(Detail::Whole, rate, each), (Detail::Departures, 1, each)];
