--- a/crates/net/src/backlog.rs
+++ b/crates/net/src/backlog.rs
@@ -25,7 +25,7 @@
     pub peak_bytes: usize,
 }
 
-/// Counters the queued messages of one process; clones share the counters.
+/// Counts the queued messages of one process; clones share the counters.
 #[derive(Debug, Clone, Default)]
 pub struct Backlog(Arc<Counters>);
 
