--- a/crates/e2e/src/fleet.rs
+++ b/crates/e2e/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes with the stand-ins beside it.
+//! Fleets of real control and entry processes with stand-in engines and services.
 
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -19,36 +19,37 @@
 
 use crate::process::{Process, no_process_starts};
 
-/// Time in which anything that a test waits for must happen.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// Time for one call to a box, which may be frozen.
-const OPERATOR_PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout of every condition that a test waits for.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of one operator call; the called box may be suspended.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval between polls of a condition.
 const POLL: Duration = Duration::from_millis(20);
-/// The model of the test pool.
+/// Model served by the test pool.
 pub const MODEL: &str = "explain-7b";
-/// Key of the first operator.
+/// Key of the operator `root`.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-test-fleet";
-/// Keys and priorities of the workspaces.
+/// Name, key and priority of each workspace.
 pub const WORKSPACES: [(&str, &str, u8); 3] = [
     ("gold", "key-of-workspace-gold", 9),
     ("silver", "key-of-workspace-silver", 5),
     ("bronze", "key-of-workspace-bronze", 1),
 ];
 
-/// How many processes of each kind a fleet has, and how they are set.
+/// Number of processes of each kind and their settings.
 #[derive(Debug, Clone)]
 pub struct Shape {
-    /// Control boxes.
+    /// Number of control boxes.
     pub control: usize,
-    /// Entry boxes.
+    /// Number of entry boxes.
     pub entry: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Application services.
+    /// Number of application services.
     pub apps: usize,
-    /// Arguments added for every engine.
+    /// Additional command-line arguments of every engine.
     pub engine_args: Vec<String>,
-    /// Lines added to the `[timing]` of every entry box.
+    /// Lines of the `[timing]` section in the settings of every entry box.
     pub timing: Vec<String>,
 }
 
@@ -71,55 +72,57 @@
     pub control: Vec<Process>,
     /// Entry processes.
     pub entry: Vec<Process>,
-    /// Engines.
+    /// Model engine processes.
     pub engines: Vec<Process>,
-    /// Application services.
+    /// Application service processes.
     pub apps: Vec<Process>,
-    /// Where operators reach the control boxes.
+    /// Operators' listeners of the control boxes.
     pub control_addrs: Vec<SocketAddr>,
-    /// Where callers reach the entry boxes.
+    /// Callers' listeners of the entry boxes.
     pub entry_addrs: Vec<SocketAddr>,
-    /// Where engines listen.
+    /// Listen addresses of the engines.
     pub engine_addrs: Vec<SocketAddr>,
-    /// Where services listen.
+    /// Listen addresses of the application services.
     pub app_addrs: Vec<SocketAddr>,
-    /// Where other boxes reach the entry boxes.
+    /// Boxes' listeners of the entry boxes.
     pub entry_box_addrs: Vec<SocketAddr>,
     shape: Shape,
-    folder: TempDir,
+    dir: TempDir,
 }
 
-/// Addresses of a fleet that is about to start.
-struct Plan {
+/// Addresses reserved for a fleet before it starts.
+struct AddressPlan {
+    /// Boxes' and operators' listener of each control box.
     control: Vec<(SocketAddr, SocketAddr)>,
+    /// Callers' and boxes' listener of each entry box.
     entry: Vec<(SocketAddr, SocketAddr)>,
     engines: Vec<SocketAddr>,
     apps: Vec<SocketAddr>,
 }
 
 impl TestFleet {
-    /// Starts a fleet and applies its first configuration.
+    /// Starts a fleet, applies configuration number 1 and waits until it is in force.
     ///
     /// # Errors
     ///
-    /// Returns an error if a process does not start or the fleet does not become ready.
+    /// Returns an error if a process fails to start or the fleet does not become ready in time.
     pub async fn start(shape: Shape) -> anyhow::Result<Self> {
         let mut fleet = Self::launch(shape)?;
-        fleet.wait_answers().await?;
+        fleet.wait_ready().await?;
         fleet.apply(1).await?;
         fleet.wait_in_force(1).await?;
         Ok(fleet)
     }
 
-    /// Starts the processes and applies nothing.
+    /// Starts the processes without applying a configuration.
     ///
     /// # Errors
     ///
-    /// Returns an error if a process does not start.
+    /// Returns an error if a process cannot be started.
     pub fn launch(shape: Shape) -> anyhow::Result<Self> {
-        let folder = tempfile::tempdir()?;
-        std::fs::write(folder.path().join("box.key"), "a secret that only the boxes share")?;
-        let plan = Plan::new(&shape)?;
+        let dir = tempfile::tempdir()?;
+        std::fs::write(dir.path().join("box.key"), "a secret that only the boxes share")?;
+        let plan = AddressPlan::new(&shape)?;
         let mut fleet = Self {
             control: Vec::new(),
             entry: Vec::new(),
@@ -131,30 +134,30 @@
             engine_addrs: plan.engines.clone(),
             app_addrs: plan.apps.clone(),
             shape,
-            folder,
+            dir,
         };
         fleet.start_standins(&plan)?;
         fleet.start_boxes(&plan)?;
         Ok(fleet)
     }
 
-    /// Waits until every process answers.
+    /// Waits until every process responds to HTTP.
     ///
     /// # Errors
     ///
-    /// Returns an error that names a process which ended or does not answer, with its log.
-    async fn wait_answers(&mut self) -> anyhow::Result<()> {
+    /// Returns an error with the name and log of a process that exited or does not respond.
+    async fn wait_ready(&mut self) -> anyhow::Result<()> {
         let engines = self.engines.iter_mut().zip(&self.engine_addrs);
         let apps = self.apps.iter_mut().zip(&self.app_addrs);
         let control = self.control.iter_mut().zip(&self.control_addrs);
         let entry = self.entry.iter_mut().zip(&self.entry_addrs);
         for (process, addr) in engines.chain(apps).chain(control).chain(entry) {
-            process.wait_answer(*addr, PATIENCE).await?;
+            process.wait_ready(*addr, WAIT_TIMEOUT).await?;
         }
         Ok(())
     }
 
-    fn start_standins(&mut self, plan: &Plan) -> anyhow::Result<()> {
+    fn start_standins(&mut self, plan: &AddressPlan) -> anyhow::Result<()> {
         for (i, addr) in plan.engines.iter().enumerate() {
             let mut args =
                 vec!["--listen".into(), addr.to_string(), "--model".into(), MODEL.into()];
@@ -172,7 +175,7 @@
         Ok(())
     }
 
-    fn start_boxes(&mut self, plan: &Plan) -> anyhow::Result<()> {
+    fn start_boxes(&mut self, plan: &AddressPlan) -> anyhow::Result<()> {
         for i in 0..plan.control.len() {
             let name = format!("control-{i}");
             let settings = self.control_settings(plan, i);
@@ -195,13 +198,13 @@
         Process::start(name, bin, args, self.path(&format!("{name}.log")))
     }
 
-    fn control_settings(&self, plan: &Plan, i: usize) -> String {
+    fn control_settings(&self, plan: &AddressPlan, i: usize) -> String {
         let (boxes, operators) = plan.control[i];
-        let folder = self.data_folder(i);
+        let data_dir = self.data_dir(i);
         let digest = to_hex(&key_digest(OPERATOR_KEY));
         let mut text = format!(
             "name = \"control-{i}\"\nboxes_addr = \"{boxes}\"\noperators_addr = \"{operators}\"\n\
-             data_folder = {folder:?}\nlog_level = \"debug\"\n{}\n\
+             data_folder = {data_dir:?}\nlog_level = \"debug\"\n{}\n\
              [[operator]]\nname = \"root\"\nkeys = [{{ id = \"k1\", sha256 = \"{digest}\" }}]\n",
             self.box_keys(),
         );
@@ -215,7 +218,7 @@
         text
     }
 
-    fn entry_settings(&self, plan: &Plan, i: usize) -> String {
+    fn entry_settings(&self, plan: &AddressPlan, i: usize) -> String {
         let (callers, boxes) = plan.entry[i];
         let list = |addrs: Vec<SocketAddr>| {
             let quoted: Vec<String> = addrs.iter().map(|addr| format!("\"{addr}\"")).collect();
@@ -227,7 +230,7 @@
             "name = \"entry-{i}\"\nfailure_domain = \"{}\"\ncallers_addr = \"{callers}\"\n\
              boxes_addr = \"{boxes}\"\ncontrol = {control}\nseeds = {seeds}\n\
              log_level = \"debug\"\n{}\n[timing]\n{}\n",
-            DOMAINS[i % DOMAINS.len()],
+            FAILURE_DOMAINS[i % FAILURE_DOMAINS.len()],
             self.box_keys(),
             self.shape.timing.join("\n"),
         )
@@ -237,19 +240,19 @@
         format!("box_keys = [{{ id = \"k1\", file = {:?} }}]", self.path("box.key"))
     }
 
-    /// Returns the data folder of a control box.
-    pub fn data_folder(&self, i: usize) -> PathBuf {
+    /// Returns the data directory of a control box.
+    pub fn data_dir(&self, i: usize) -> PathBuf {
         self.path(&format!("control-{i}.data"))
     }
 
     fn path(&self, name: &str) -> PathBuf {
-        self.folder.path().join(name)
+        self.dir.path().join(name)
     }
 
-    /// Returns the text of a fleet file under a number.
+    /// Renders the fleet file with the given configuration number.
     pub fn fleet_file(&self, number: u64) -> String {
         let mut text = format!("number = {number}\n");
-        for domain in DOMAINS {
+        for domain in FAILURE_DOMAINS {
             let _ = write!(text, "\n[[failure_domain]]\nname = \"{domain}\"\nregion = \"here\"\n");
         }
         let _ = write!(
@@ -262,7 +265,7 @@
                 text,
                 "\n[[runner]]\nname = \"engine-{i}\"\npool = \"explain\"\naddr = \"{addr}\"\n\
                  failure_domain = \"{}\"\nmax_batch = 16\n",
-                DOMAINS[i % DOMAINS.len()]
+                FAILURE_DOMAINS[i % FAILURE_DOMAINS.len()]
             );
         }
         text.push_str(
@@ -275,7 +278,7 @@
                 text,
                 "\n[[service_upstream]]\nname = \"app-{i}\"\nservice = \"calculator\"\n\
                  addr = \"{addr}\"\nfailure_domain = \"{}\"\n",
-                DOMAINS[i % DOMAINS.len()]
+                FAILURE_DOMAINS[i % FAILURE_DOMAINS.len()]
             );
         }
         for (name, key, priority) in WORKSPACES {
@@ -294,44 +297,45 @@
         text
     }
 
-    /// Submits a fleet file to whichever control box leads; returns status and body.
+    /// Submits a fleet file to the leading control box, trying each until one accepts the call;
+    /// returns the status and body of the response.
     ///
     /// # Errors
     ///
-    /// Returns an error if no control box takes it in time.
+    /// Returns an error if no leader responds in time.
     pub async fn submit(&self, text: &str) -> anyhow::Result<(u16, String)> {
         let started = Instant::now();
         let mut last = String::new();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < WAIT_TIMEOUT {
             for at in &self.control_addrs {
                 let body = Bytes::from(text.to_owned());
                 match self.operator_call(*at, Method::POST, "/ops/config", body).await {
                     Ok((421 | 503, body)) => last = body,
-                    Ok(done) => return Ok(done),
+                    Ok(response) => return Ok(response),
                     Err(err) => last = format!("{err:#}"),
                 }
             }
             compio::time::sleep(POLL).await;
         }
-        bail!("no control box took the file: {last}")
+        bail!("no control box handled the fleet file: {last}")
     }
 
-    /// Applies the fleet file under a number.
+    /// Applies the fleet file with the given configuration number.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is not accepted.
+    /// Returns an error if the file is not accepted.
     pub async fn apply(&self, number: u64) -> anyhow::Result<()> {
         let (status, body) = self.submit(&self.fleet_file(number)).await?;
         anyhow::ensure!(status == 200, "apply {number}: {status}: {body}");
         Ok(())
     }
 
-    /// Waits until every running entry box has a number in force and takes new work.
+    /// Waits until every entry box has confirmed configuration `number` or a newer one.
     ///
     /// # Errors
     ///
-    /// Returns an error if that takes too long.
+    /// Returns an error if a box does not confirm it in time.
     pub async fn wait_in_force(&self, number: u64) -> anyhow::Result<()> {
         for i in 0..self.entry_addrs.len() {
             self.wait_entry(i, |status| {
@@ -342,34 +346,34 @@
         Ok(())
     }
 
-    /// Waits until the status of an entry box is as wanted.
+    /// Polls the status of an entry box until it satisfies `condition`.
     ///
     /// # Errors
     ///
-    /// Returns an error with the last status if that takes too long.
+    /// Returns an error with the last status or failure if the condition is not met in time.
     pub async fn wait_entry(
         &self,
         i: usize,
-        wanted: impl Fn(&EntryStatus) -> bool,
+        condition: impl Fn(&EntryStatus) -> bool,
     ) -> anyhow::Result<EntryStatus> {
         let started = Instant::now();
         let mut last = String::new();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < WAIT_TIMEOUT {
             match self.entry_status(i).await {
-                Ok(status) if wanted(&status) => return Ok(status),
+                Ok(status) if condition(&status) => return Ok(status),
                 Ok(status) => last = format!("{status:?}"),
                 Err(err) => last = format!("{err:#}"),
             }
             compio::time::sleep(POLL).await;
         }
-        bail!("entry-{i} is not as wanted: {last}")
+        bail!("entry-{i} did not reach the expected status: {last}")
     }
 
     /// Returns the status of an entry box.
     ///
     /// # Errors
     ///
-    /// Returns an error if it does not answer.
+    /// Returns an error if the box does not respond with success.
     pub async fn entry_status(&self, i: usize) -> anyhow::Result<EntryStatus> {
         let at = self.entry_addrs[i];
         let (status, body) =
@@ -378,11 +382,11 @@
         Ok(serde_json::from_str(&body)?)
     }
 
-    /// Calls an operators' listener; a repair takes the longest.
+    /// Calls an operators' listener; repairs get a longer timeout than other calls.
     ///
     /// # Errors
     ///
-    /// Returns an error if no answer comes.
+    /// Returns an error if no response arrives in time.
     pub async fn operator_call(
         &self,
         at: SocketAddr,
@@ -392,57 +396,57 @@
     ) -> anyhow::Result<(u16, String)> {
         let operator = Caller { key: OPERATOR_KEY.to_owned() };
         let call = operator.call(at, method, path, HeaderMap::new(), body);
-        let limit = if path.starts_with("/ops/repair") { PATIENCE } else { OPERATOR_PATIENCE };
-        let answer = compio::time::timeout(limit, call).await;
-        let (parts, body) = answer.with_context(|| format!("{at} does not answer"))??;
+        let timeout = if path.starts_with("/ops/repair") { WAIT_TIMEOUT } else { OPERATOR_TIMEOUT };
+        let response = compio::time::timeout(timeout, call).await;
+        let (parts, body) = response.with_context(|| format!("{at} does not respond"))??;
         Ok((parts.status.as_u16(), String::from_utf8_lossy(&body).into_owned()))
     }
 
-    /// Returns a caller of a workspace of [`WORKSPACES`].
+    /// Returns a caller with the key of the workspace at this index of [`WORKSPACES`].
     pub fn caller(&self, workspace: usize) -> Caller {
         Caller { key: WORKSPACES[workspace].1.to_owned() }
     }
 
-    /// Has an engine play a fault.
+    /// Injects a fault into an engine.
     ///
     /// # Errors
     ///
-    /// Returns an error if the engine does not answer.
+    /// Returns an error if the engine does not respond with success.
     pub async fn set_fault(&self, engine: usize, fault: Fault) -> anyhow::Result<()> {
         let body = Bytes::from(serde_json::to_vec(&fault)?);
-        self.standin(self.engine_addrs[engine], Method::POST, "/admin/fault", body).await?;
+        self.call_standin(self.engine_addrs[engine], Method::POST, "/admin/fault", body).await?;
         Ok(())
     }
 
-    /// Returns everything that an engine generated.
+    /// Returns the generations recorded by an engine.
     ///
     /// # Errors
     ///
-    /// Returns an error if the engine does not answer.
+    /// Returns an error if the engine does not respond with a valid ledger.
     pub async fn ledger(&self, engine: usize) -> anyhow::Result<Vec<LedgerRow>> {
-        self.standin_json(self.engine_addrs[engine], "/admin/ledger").await
+        self.get_standin_json(self.engine_addrs[engine], "/admin/ledger").await
     }
 
-    /// Reads a JSON document from a stand-in.
+    /// Gets a JSON document from a stand-in.
     ///
     /// # Errors
     ///
-    /// Returns an error if it does not answer.
-    pub async fn standin_json<T: DeserializeOwned>(
+    /// Returns an error if the call fails or the body does not decode.
+    pub async fn get_standin_json<T: DeserializeOwned>(
         &self,
         at: SocketAddr,
         path: &str,
     ) -> anyhow::Result<T> {
-        let body = self.standin(at, Method::GET, path, Bytes::new()).await?;
+        let body = self.call_standin(at, Method::GET, path, Bytes::new()).await?;
         serde_json::from_slice(&body).with_context(|| format!("{at}{path}"))
     }
 
-    /// Calls a stand-in.
+    /// Calls a stand-in and returns the body of its response.
     ///
     /// # Errors
     ///
-    /// Returns an error if it does not answer with success.
-    pub async fn standin(
+    /// Returns an error if the call fails or its status is not a success.
+    pub async fn call_standin(
         &self,
         at: SocketAddr,
         method: Method,
@@ -455,31 +459,32 @@
         Ok(body)
     }
 
-    /// Writes a file into the fleet's folder and returns its path.
+    /// Writes a file into the fleet's temporary directory and returns its path.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
-    pub fn write(&self, name: &str, text: &str) -> anyhow::Result<PathBuf> {
+    /// Returns the I/O error.
+    pub fn write_file(&self, name: &str, text: &str) -> anyhow::Result<PathBuf> {
         let path = self.path(name);
         std::fs::write(&path, text)?;
         Ok(path)
     }
 
-    /// Returns the fleet's folder.
-    pub fn folder(&self) -> &Path {
-        self.folder.path()
+    /// Returns the fleet's temporary directory.
+    pub fn dir(&self) -> &Path {
+        self.dir.path()
     }
 }
 
-const DOMAINS: [&str; 3] = ["domain-a", "domain-b", "domain-c"];
+/// Failure domains, assigned to processes in turn.
+const FAILURE_DOMAINS: [&str; 3] = ["domain-a", "domain-b", "domain-c"];
 
-impl Plan {
+impl AddressPlan {
     fn new(shape: &Shape) -> anyhow::Result<Self> {
-        // Until the ports are given back, at the end.
-        let _alone = no_process_starts();
-        let ip = own_loopback();
-        let mut ports = Ports { ip, held: Vec::new() };
+        // Held until the reserved ports are released at the end of this function.
+        let _spawn_guard = no_process_starts();
+        let ip = unique_loopback();
+        let mut ports = PortAllocator { ip, listeners: Vec::new() };
         let mut pairs = |count: usize| -> anyhow::Result<Vec<(SocketAddr, SocketAddr)>> {
             (0..count).map(|_| Ok((ports.next()?, ports.next()?))).collect()
         };
@@ -491,23 +496,23 @@
     }
 }
 
-/// Ports that the kernel gave; held until all are known, so that none comes twice.
-struct Ports {
+/// Allocates kernel-assigned ports and keeps each listener open, so that no port is assigned twice.
+struct PortAllocator {
     ip: Ipv4Addr,
-    held: Vec<TcpListener>,
+    listeners: Vec<TcpListener>,
 }
 
-impl Ports {
+impl PortAllocator {
     fn next(&mut self) -> anyhow::Result<SocketAddr> {
         let listener = TcpListener::bind((self.ip, 0))?;
         let addr = listener.local_addr()?;
-        self.held.push(listener);
+        self.listeners.push(listener);
         Ok(addr)
     }
 }
 
-/// Returns a loopback address that no other fleet of this machine's tests uses.
-fn own_loopback() -> Ipv4Addr {
+/// Derives a loopback address from the process id and a counter to keep concurrent fleets apart.
+fn unique_loopback() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let fleet = NEXT.fetch_add(1, Ordering::Relaxed);
     let id = (std::process::id() << 8) | (fleet & 0xff);
--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -1,7 +1,7 @@
-//! Fleets of real processes for tests: started, stopped and killed by id.
+//! Starts fleets of real processes for end-to-end tests and stops them by process id.
 //!
-//! Every fleet uses a loopback address of its own, so that fleets of tests
-//! that run side by side never meet; ports come from the kernel.
+//! Each fleet listens on its own loopback address with ports assigned by the kernel, so
+//! concurrent tests do not interfere with each other.
 
 pub mod fleet;
 pub mod process;
--- a/crates/e2e/src/process.rs
+++ b/crates/e2e/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a test fleet.
+//! Processes of a test fleet.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -7,35 +7,37 @@
 
 use anyhow::Context as _;
 
-/// Clock ticks a second that the kernel reports in.
-const TICKS: u64 = 100;
-/// Bytes of a page.
-const PAGE: u64 = 4_096;
+/// Clock ticks per second in `/proc/{pid}/stat` (`USER_HZ`).
+const TICKS_PER_SECOND: u64 = 100;
+/// Size of a memory page, in bytes.
+const PAGE_SIZE: u64 = 4_096;
 
-/// Held while a process is started, and while ports are looked for.
-static STARTING: Mutex<()> = Mutex::new(());
+/// Held while a process is spawned and while free ports are reserved.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// Keeps this program from starting processes. One that was forked and has not begun its own
-/// program yet holds all listeners of this one open, so that a port that was just given back
-/// can't be bound: with six threads that start processes, four times in ten.
+/// Prevents this test program from spawning processes while the guard is held.
+///
+/// Between `fork` and `exec`, a child inherits all listening sockets of this program, so a port
+/// that was just released cannot be bound again. With six threads that spawn processes, this
+/// failed four times in ten.
 pub fn no_process_starts() -> MutexGuard<'static, ()> {
-    // The guard protects no data that a panic could have left half changed.
-    STARTING.lock().unwrap_or_else(PoisonError::into_inner)
+    // The mutex protects no data, so a panic of a holder leaves nothing inconsistent.
+    SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time.
+    /// User and system CPU time.
     pub cpu: Duration,
-    /// Memory in use, in bytes.
+    /// Resident memory, in bytes.
     pub memory: u64,
 }
 
 /// A process that is killed when dropped.
 #[derive(Debug)]
 pub struct Process {
-    /// Name for messages.
+    /// Name used in error messages.
     pub name: String,
     bin: PathBuf,
     args: Vec<String>,
@@ -44,27 +46,27 @@
 }
 
 impl Process {
-    /// Starts a program of this workspace; its log is appended to `log`.
+    /// Starts a binary of this workspace and appends its output to `log`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the program was not built or does not start.
+    /// Returns an error if the binary was not built or cannot be spawned.
     pub fn start(name: &str, bin: &str, args: Vec<String>, log: PathBuf) -> anyhow::Result<Self> {
-        let bin = program(bin)?;
+        let bin = find_binary(bin)?;
         let mut process = Self { name: name.to_owned(), bin, args, log, child: None };
         process.restart()?;
         Ok(process)
     }
 
-    /// Starts the program again after it ended.
+    /// Kills the process if it is running and starts it again.
     ///
     /// # Errors
     ///
-    /// Returns an error if it does not start.
+    /// Returns an error if the log cannot be opened or the process cannot be spawned.
     pub fn restart(&mut self) -> anyhow::Result<()> {
         self.kill();
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
-        let starting = no_process_starts();
+        let spawn_guard = no_process_starts();
         let child = Command::new(&self.bin)
             .args(&self.args)
             .stdin(Stdio::null())
@@ -72,12 +74,12 @@
             .stderr(log)
             .spawn()
             .with_context(|| format!("start {}", self.bin.display()))?;
-        drop(starting);
+        drop(spawn_guard);
         self.child = Some(child);
         Ok(())
     }
 
-    /// Ends the process at once.
+    /// Kills the process with `SIGKILL` and reaps it.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -85,64 +87,66 @@
         }
     }
 
-    /// Returns the id of the running process.
+    /// Returns the process id, or `None` if the process was killed or reaped.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Returns the id of the running process as system calls take it.
+    /// Returns the process id in the type that system calls take.
     fn pid(&self) -> Option<libc::pid_t> {
         libc::pid_t::try_from(self.id()?).ok()
     }
 
-    /// Bounds the size of the files that the process writes; `None` takes the bound away. A
-    /// write beyond it fails as on a full disk, as long as the process ignores `SIGXFSZ`.
+    /// Limits the size of files that the process writes, in bytes; `None` removes the limit.
+    ///
+    /// A write beyond the limit fails like one on a full disk if the process ignores `SIGXFSZ`.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of `prlimit`.
     pub fn bound_files(&self, bytes: Option<u64>) -> std::io::Result<()> {
         let Some(pid) = self.pid() else { return Ok(()) };
         let limit = libc::rlimit {
             rlim_cur: bytes.unwrap_or(libc::RLIM_INFINITY),
             rlim_max: libc::RLIM_INFINITY,
         };
-        // SAFETY: the limit outlives the call; the id is that of a child not yet waited for.
-        let set = unsafe {
+        // SAFETY: `limit` outlives the call, and the pid belongs to a child not yet reaped.
+        let result = unsafe {
             libc::prlimit(pid, libc::RLIMIT_FSIZE, &raw const limit, std::ptr::null_mut())
         };
-        if set == 0 { Ok(()) } else { Err(std::io::Error::last_os_error()) }
+        if result == 0 { Ok(()) } else { Err(std::io::Error::last_os_error()) }
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process if it is running.
     pub fn signal(&self, signal: i32) {
         if let Some(pid) = self.pid() {
-            // SAFETY: `kill` has no memory effects; the id is that of a child not yet waited for.
+            // SAFETY: `kill` has no memory effects, and the pid belongs to a child not yet reaped.
             unsafe { libc::kill(pid, signal) };
         }
     }
 
-    /// Stops the process from running until [`Self::thaw`].
+    /// Suspends the process with `SIGSTOP` until [`Self::thaw`].
     pub fn freeze(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets a frozen process run again.
+    /// Resumes a suspended process with `SIGCONT`.
     pub fn thaw(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Returns whether the process has ended.
+    /// Returns whether the process has exited, and reaps it if so.
     pub fn has_ended(&mut self) -> bool {
-        let ended = self.child.as_mut().is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))));
-        if ended {
-            // Its id may be given to another process from now on.
+        let exited =
+            self.child.as_mut().is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))));
+        if exited {
+            // The kernel may reuse the pid once the child is reaped.
             self.child = None;
         }
-        ended
+        exited
     }
 
-    /// Waits until the process ends; returns whether it did within `limit`.
+    /// Waits until the process exits; returns `false` if it did not within `limit`.
     pub async fn wait_end(&mut self, limit: Duration) -> bool {
         let started = Instant::now();
         while !self.has_ended() {
@@ -154,23 +158,26 @@
         true
     }
 
-    /// Returns the processor time used so far and the memory in use, in bytes.
+    /// Returns the CPU time used so far and the resident memory.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process has ended.
+    /// Returns an error if the process has exited.
     pub fn usage(&self) -> anyhow::Result<Usage> {
-        let pid = self.id().context("the process has ended")?;
+        let pid = self.id().context("the process has exited")?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-        // The name in brackets may hold blanks; what follows it does not.
-        let rest = stat.rsplit_once(')').context("stat")?.1;
-        let field = |i: usize| rest.split_whitespace().nth(i).and_then(|f| f.parse::<u64>().ok());
+        // The process name in parentheses may contain spaces; later fields do not.
+        let fields = stat.rsplit_once(')').context("stat")?.1;
+        let field = |i: usize| fields.split_whitespace().nth(i).and_then(|f| f.parse::<u64>().ok());
         let ticks = field(11).context("utime")? + field(12).context("stime")?;
         let pages = field(21).context("rss")?;
-        Ok(Usage { cpu: Duration::from_millis(ticks * 1_000 / TICKS), memory: pages * PAGE })
+        Ok(Usage {
+            cpu: Duration::from_millis(ticks * 1_000 / TICKS_PER_SECOND),
+            memory: pages * PAGE_SIZE,
+        })
     }
 
-    /// Returns the log so far.
+    /// Returns the log written so far, or an empty string if it cannot be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -183,21 +190,22 @@
     }
 }
 
-/// Runs a program of this workspace to its end; returns its exit code and what it printed.
+/// Runs a binary of this workspace to completion; returns its exit code, or -1 if a signal ended
+/// it, and its standard output followed by its standard error.
 ///
 /// # Errors
 ///
-/// Returns an error if the program was not built or does not start.
+/// Returns an error if the binary was not built or cannot be spawned.
 pub fn run(bin: &str, args: &[&str]) -> anyhow::Result<(i32, String)> {
-    let output = Command::new(program(bin)?).args(args).stdin(Stdio::null()).output()?;
+    let output = Command::new(find_binary(bin)?).args(args).stdin(Stdio::null()).output()?;
     let text = [output.stdout, output.stderr].concat();
     Ok((output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned()))
 }
 
-/// Finds a program that this workspace built, beside the running test.
-fn program(name: &str) -> anyhow::Result<PathBuf> {
+/// Finds a built binary of this workspace near the running test executable.
+fn find_binary(name: &str) -> anyhow::Result<PathBuf> {
     let exe = std::env::current_exe()?;
-    let folders = exe.ancestors().skip(1).take(3);
-    let found = folders.map(|folder: &Path| folder.join(name)).find(|path| path.is_file());
+    let dirs = exe.ancestors().skip(1).take(3);
+    let found = dirs.map(|dir: &Path| dir.join(name)).find(|path| path.is_file());
     found.with_context(|| format!("{name} is not built: run `cargo build --workspace` first"))
 }
--- a/crates/e2e/src/ready.rs
+++ b/crates/e2e/src/ready.rs
@@ -1,4 +1,4 @@
-//! When a process counts as started: it answers, and it is the process itself that does.
+//! Readiness checks for started processes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,41 +10,39 @@
 
 use crate::Process;
 
-/// Time for one call: whoever holds a port in the process's place may never answer.
+/// Timeout of one probe. Another process that holds the port may accept it and never respond.
 const CALL_LIMIT: Duration = Duration::from_millis(300);
-/// Time between two calls.
+/// Interval between probes.
 const POLL: Duration = Duration::from_millis(20);
 
 impl Process {
-    /// Waits until the process answers HTTP at `addr`, whatever it says.
+    /// Waits until the process responds to HTTP at `addr` with any status.
     ///
     /// # Errors
     ///
-    /// Returns an error with the process's log if it ended or does not answer within `patience`.
-    pub async fn wait_answer(
-        &mut self,
-        addr: SocketAddr,
-        patience: Duration,
-    ) -> anyhow::Result<()> {
+    /// Returns an error with the process's log if it exits or does not respond within
+    /// `timeout`.
+    pub async fn wait_ready(&mut self, addr: SocketAddr, timeout: Duration) -> anyhow::Result<()> {
         let started = Instant::now();
         loop {
-            let answers = answers(addr).await;
-            // A process that lost its port to another one ends, and the other one may answer.
+            let responds = responds(addr).await;
+            // If another process holds the port, that process may respond while this one exits.
             if self.has_ended() {
-                bail!("{} ended at its start: {}", self.name, self.log());
+                bail!("{} exited during startup: {}", self.name, self.log());
             }
-            if answers {
+            if responds {
                 return Ok(());
             }
-            if started.elapsed() > patience {
-                bail!("{} does not answer at {addr}: {}", self.name, self.log());
+            if started.elapsed() > timeout {
+                bail!("{} does not respond at {addr}: {}", self.name, self.log());
             }
             compio::time::sleep(POLL).await;
         }
     }
 }
 
-async fn answers(addr: SocketAddr) -> bool {
+/// Returns whether an HTTP response arrives from `addr`.
+async fn responds(addr: SocketAddr) -> bool {
     let caller = Caller { key: String::new() };
     let call = caller.call(addr, Method::GET, "/", HeaderMap::new(), Bytes::new());
     matches!(compio::time::timeout(CALL_LIMIT, call).await, Ok(Ok(_)))
--- a/crates/e2e/tests/control.rs
+++ b/crates/e2e/tests/control.rs
@@ -1,4 +1,4 @@
-//! The control boxes as real processes: kills, freezes, lost disks, racing operators.
+//! Control boxes as real processes: crashes, suspensions, lost disks and concurrent operators.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,11 +9,12 @@
 use hatchpitch::config::{ApplyOutcome, Delta, load_fleet};
 use hatchpitch::control::operators::ControlStatus;
 use hatchpitch::control::repair::Repaired;
-use hatchpitch_e2e::fleet::PATIENCE;
+use hatchpitch_e2e::fleet::WAIT_TIMEOUT;
 use hatchpitch_e2e::{Shape, TestFleet};
 use hatchpitch_net::keys::to_hex;
 use http::Method;
 
+/// Returns the status of a control box.
 async fn control_status(fleet: &TestFleet, i: usize) -> anyhow::Result<ControlStatus> {
     let at = fleet.control_addrs[i];
     let (status, body) = fleet.operator_call(at, Method::GET, "/ops/status", Bytes::new()).await?;
@@ -21,27 +22,27 @@
     Ok(serde_json::from_str(&body)?)
 }
 
-/// Waits for a box that leads among those that `counts` lets take part.
-async fn wait_leader(fleet: &TestFleet, counts: impl Fn(usize) -> bool) -> anyhow::Result<usize> {
+/// Waits for a leader among the control boxes that `eligible` accepts and returns its index.
+async fn wait_leader(fleet: &TestFleet, eligible: impl Fn(usize) -> bool) -> anyhow::Result<usize> {
     let started = Instant::now();
-    while started.elapsed() < PATIENCE {
-        for i in (0..fleet.control_addrs.len()).filter(|i| counts(*i)) {
+    while started.elapsed() < WAIT_TIMEOUT {
+        for i in (0..fleet.control_addrs.len()).filter(|i| eligible(*i)) {
             if control_status(fleet, i).await.is_ok_and(|status| status.leads) {
                 return Ok(i);
             }
         }
         compio::time::sleep(Duration::from_millis(20)).await;
     }
-    anyhow::bail!("no control box leads")
+    anyhow::bail!("no leader among the eligible control boxes")
 }
 
-fn small() -> Shape {
+fn small_shape() -> Shape {
     Shape { entry: 2, engines: 1, apps: 0, ..Shape::default() }
 }
 
 #[compio::test]
-async fn a_killed_leader_is_replaced_and_nothing_accepted_is_lost() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small()).await?;
+async fn killed_leader_is_replaced_without_losing_accepted_changes() -> anyhow::Result<()> {
+    let mut fleet = TestFleet::start(small_shape()).await?;
     for number in 2..=4 {
         let leader = wait_leader(&fleet, |_| true).await?;
         fleet.control[leader].kill();
@@ -52,7 +53,7 @@
     for i in 0..3 {
         let started = Instant::now();
         while control_status(&fleet, i).await.map_or(0, |s| s.config_number) < 4 {
-            assert!(started.elapsed() < PATIENCE, "control-{i} does not catch up");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "control-{i} does not catch up");
             compio::time::sleep(Duration::from_millis(50)).await;
         }
     }
@@ -60,8 +61,8 @@
 }
 
 #[compio::test]
-async fn a_frozen_leader_that_thaws_puts_nothing_old_in_force() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(small()).await?;
+async fn resumed_stale_leader_cannot_accept_changes() -> anyhow::Result<()> {
+    let fleet = TestFleet::start(small_shape()).await?;
     let old = wait_leader(&fleet, |_| true).await?;
     fleet.control[old].freeze();
     let new = wait_leader(&fleet, |i| i != old).await?;
@@ -81,14 +82,13 @@
 }
 
 #[compio::test]
-async fn racing_operators_get_one_winner_a_number_and_resends_get_the_same_answer()
--> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small()).await?;
+async fn concurrent_submissions_have_one_winner_and_resends_are_idempotent() -> anyhow::Result<()> {
+    let mut fleet = TestFleet::start(small_shape()).await?;
     let mut winners: BTreeMap<u64, String> = BTreeMap::new();
     for number in 2..=9 {
         let one = fleet.fleet_file(number);
         let other = one.replace("priority = 1\n", "priority = 2\n");
-        let (first, second) = futures_join(fleet.submit(&one), fleet.submit(&other)).await;
+        let (first, second) = join_both(fleet.submit(&one), fleet.submit(&other)).await;
         let outcomes = [outcome(first?)?, outcome(second?)?];
         let accepted = outcomes.iter().filter(|o| matches!(o, ApplyOutcome::Accepted { .. }));
         let accepted: Vec<&ApplyOutcome> = accepted.collect();
@@ -110,7 +110,7 @@
         let other = one.replace("priority = 1\n", "priority = 2\n");
         for text in [one, other] {
             match outcome(fleet.submit(&text).await?)? {
-                ApplyOutcome::Accepted { content: held, .. } => assert_eq!(held, *content),
+                ApplyOutcome::Accepted { content: accepted, .. } => assert_eq!(accepted, *content),
                 ApplyOutcome::Taken { winner, .. } => assert_eq!(winner, *content),
                 stale => panic!("{stale:?}"),
             }
@@ -119,19 +119,20 @@
     Ok(())
 }
 
-async fn futures_join<A, B>(a: impl Future<Output = A>, b: impl Future<Output = B>) -> (A, B) {
+/// Runs two futures concurrently and returns both outputs.
+async fn join_both<A, B>(a: impl Future<Output = A>, b: impl Future<Output = B>) -> (A, B) {
     futures_util::future::join(a, b).await
 }
 
+/// Decodes the outcome of a submission.
 fn outcome((status, body): (u16, String)) -> anyhow::Result<ApplyOutcome> {
     anyhow::ensure!(status == 200 || status == 409, "{status}: {body}");
     Ok(serde_json::from_str(&body)?)
 }
 
 #[compio::test]
-async fn a_lost_disk_is_repaired_and_a_second_loss_right_after_costs_nothing() -> anyhow::Result<()>
-{
-    let mut fleet = TestFleet::start(small()).await?;
+async fn repaired_disk_loss_tolerates_a_second_disk_loss() -> anyhow::Result<()> {
+    let mut fleet = TestFleet::start(small_shape()).await?;
     for number in 2..=5 {
         fleet.apply(number).await?;
     }
@@ -139,13 +140,13 @@
     let lost = (leader + 1) % 3;
     let third = (leader + 2) % 3;
     fleet.control[lost].kill();
-    std::fs::remove_dir_all(fleet.data_folder(lost))?;
+    std::fs::remove_dir_all(fleet.data_dir(lost))?;
     fleet.control[lost].restart()?;
 
     let repaired = repair(&fleet, lost).await?;
     assert_eq!(repaired.voters.len(), 3);
     fleet.control[third].kill();
-    std::fs::remove_dir_all(fleet.data_folder(third))?;
+    std::fs::remove_dir_all(fleet.data_dir(third))?;
 
     let text = fleet.fleet_file(5);
     assert!(matches!(outcome(fleet.submit(&text).await?)?, ApplyOutcome::Accepted { .. }));
@@ -154,11 +155,12 @@
     Ok(())
 }
 
+/// Replaces the voter `control-{lost}`, retrying at all control boxes until one completes it.
 async fn repair(fleet: &TestFleet, lost: usize) -> anyhow::Result<Repaired> {
     let started = Instant::now();
     let path = format!("/ops/repair?replace=control-{lost}");
     let mut last = String::new();
-    while started.elapsed() < PATIENCE {
+    while started.elapsed() < WAIT_TIMEOUT {
         for at in &fleet.control_addrs {
             match fleet.operator_call(*at, Method::POST, &path, Bytes::new()).await {
                 Ok((200, body)) => return Ok(serde_json::from_str(&body)?),
@@ -167,15 +169,15 @@
             }
         }
     }
-    anyhow::bail!("not repaired: {last}")
+    anyhow::bail!("control-{lost} was not repaired: {last}")
 }
 
 #[compio::test]
-async fn a_box_that_lost_its_disk_does_not_begin_anew() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small()).await?;
+async fn box_with_lost_disk_does_not_start_a_new_log() -> anyhow::Result<()> {
+    let mut fleet = TestFleet::start(small_shape()).await?;
     let lost = 1;
     fleet.control[lost].kill();
-    std::fs::remove_dir_all(fleet.data_folder(lost))?;
+    std::fs::remove_dir_all(fleet.data_dir(lost))?;
     fleet.control[lost].restart()?;
     wait_leader(&fleet, |i| i != lost).await?;
     let status = {
@@ -183,7 +185,7 @@
         loop {
             match control_status(&fleet, lost).await {
                 Ok(status) => break status,
-                Err(err) => assert!(started.elapsed() < PATIENCE, "{err:#}"),
+                Err(err) => assert!(started.elapsed() < WAIT_TIMEOUT, "{err:#}"),
             }
             compio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -194,8 +196,8 @@
 }
 
 #[compio::test]
-async fn an_entry_box_that_was_down_catches_up_with_hundreds_of_changes() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small()).await?;
+async fn restarted_entry_box_catches_up_with_hundreds_of_changes() -> anyhow::Result<()> {
+    let mut fleet = TestFleet::start(small_shape()).await?;
     fleet.entry[0].kill();
     for number in 2..=200 {
         fleet.apply(number).await?;
@@ -206,8 +208,8 @@
 }
 
 #[compio::test]
-async fn only_a_box_that_is_sure_of_the_newest_configuration_reads_it_back() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(small()).await?;
+async fn only_the_leader_serves_configuration_reads() -> anyhow::Result<()> {
+    let fleet = TestFleet::start(small_shape()).await?;
     let leader = wait_leader(&fleet, |_| true).await?;
     let file = Bytes::from(fleet.fleet_file(2));
     for (i, at) in fleet.control_addrs.iter().enumerate() {
@@ -224,20 +226,20 @@
     Ok(())
 }
 
-/// Returns the bytes that an entry box has exchanged with other boxes.
+/// Returns the number of body bytes that an entry box has exchanged with other boxes.
 async fn box_bytes(fleet: &TestFleet, entry: usize) -> anyhow::Result<f64> {
     let at = fleet.entry_addrs[entry];
     let (_, text) = fleet.operator_call(at, Method::GET, "/metrics", Bytes::new()).await?;
     let calls = text.lines().any(|line| line.starts_with("hatchpitch_box_path_calls{path=\"/box/"));
     let bytes = text.lines().filter(|line| line.starts_with("hatchpitch_box_path_body_bytes{"));
-    anyhow::ensure!(calls && bytes.count() > 1, "no counts by path");
+    anyhow::ensure!(calls && bytes.count() > 1, "no metrics by path");
     let line = text.lines().find_map(|line| line.strip_prefix("hatchpitch_box_body_bytes "));
-    Ok(line.ok_or_else(|| anyhow::anyhow!("no count of bytes"))?.parse()?)
+    Ok(line.ok_or_else(|| anyhow::anyhow!("no hatchpitch_box_body_bytes metric"))?.parse()?)
 }
 
 #[compio::test]
-async fn a_large_change_is_brought_to_a_box_once() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(small()).await?;
+async fn large_change_is_delivered_to_a_box_once() -> anyhow::Result<()> {
+    let fleet = TestFleet::start(small_shape()).await?;
     let mut file = fleet.fleet_file(2);
     for i in 0..2_000 {
         file.push_str(&format!(
@@ -250,12 +252,12 @@
     let (status, answer) = fleet.submit(&file).await?;
     assert_eq!(status, 200, "{answer}");
     fleet.wait_in_force(2).await?;
-    // Later deliveries of the same would follow within the time that a fetch waits for the feed.
+    // A duplicate delivery would arrive within the time that a fetch waits for the feed.
     compio::time::sleep(std::time::Duration::from_millis(1_500)).await;
-    let brought = box_bytes(&fleet, 0).await? - before;
+    let received = box_bytes(&fleet, 0).await? - before;
     let upserts = load_fleet("fleet", &file)?.entities.into_values().collect();
     let change = PackedDelta::new(&Delta { upserts, removals: Vec::new() }).packed_len() as f64;
-    assert!(change > 2_000.0 * 32.0, "the digests of the keys can't be packed");
-    assert!(brought > change / 2.0 && brought < change * 1.8, "{brought} bytes for {change}");
+    assert!(change > 2_000.0 * 32.0, "the change is smaller than its incompressible digests");
+    assert!(received > change / 2.0 && received < change * 1.8, "{received} bytes for {change}");
     Ok(())
 }
--- a/crates/e2e/tests/input.rs
+++ b/crates/e2e/tests/input.rs
@@ -1,4 +1,4 @@
-//! Bad input at every listener: a clear refusal, and the process goes on.
+//! Invalid input at every listener is rejected with a clear error and the process keeps running.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -10,11 +10,12 @@
 use hatchpitch_standins::caller::Caller;
 use http::{HeaderMap, Method};
 
-/// Sends raw bytes and returns what comes back before the peer closes or falls silent.
-fn raw(at: SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns the response read until the peer closes the connection or sends
+/// nothing for 500 ms.
+fn send_raw(at: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-    // The peer may close before it has read everything.
+    // The peer may close the connection before it has read all bytes.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let mut buf = [0; 4096];
@@ -25,27 +26,27 @@
 }
 
 #[compio::test]
-async fn every_listener_refuses_bad_input_and_goes_on() -> anyhow::Result<()> {
+async fn every_listener_rejects_invalid_input_and_keeps_serving() -> anyhow::Result<()> {
     let mut fleet = TestFleet::start(Shape::default()).await?;
     let mut listeners = fleet.entry_addrs.clone();
     listeners.extend(&fleet.control_addrs);
     listeners.extend(&fleet.entry_box_addrs);
     for at in listeners {
-        let huge_head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(200_000));
-        assert!(raw(at, huge_head.as_bytes()).contains("431"), "{at}: huge head");
-        let noise: Vec<u8> =
+        let oversized_head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(200_000));
+        assert!(send_raw(at, oversized_head.as_bytes()).contains("431"), "{at}: oversized head");
+        let random_bytes: Vec<u8> =
             (0..5_000_u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 24) as u8).collect();
-        let answer = raw(at, &noise);
-        assert!(answer.is_empty() || answer.contains("400"), "{at}: noise: {answer}");
-        raw(at, b"POST /v1/chat/completions HTTP/1.1\r\ncontent-length: 100\r\n\r\nshort");
-        raw(at, b"GET / HT");
+        let answer = send_raw(at, &random_bytes);
+        assert!(answer.is_empty() || answer.contains("400"), "{at}: random bytes: {answer}");
+        send_raw(at, b"POST /v1/chat/completions HTTP/1.1\r\ncontent-length: 100\r\n\r\nshort");
+        send_raw(at, b"GET / HT");
         assert!(
-            raw(at, b"GET /nowhere HTTP/1.1\r\nhost: x\r\n\r\n").contains("HTTP/1.1 40"),
+            send_raw(at, b"GET /nowhere HTTP/1.1\r\nhost: x\r\n\r\n").contains("HTTP/1.1 40"),
             "{at}"
         );
     }
     for process in fleet.entry.iter_mut().chain(&mut fleet.control) {
-        assert!(!process.has_ended(), "{} ended", process.name);
+        assert!(!process.has_ended(), "{} exited", process.name);
     }
     let answer = fleet.caller(0).chat(fleet.entry_addrs[0], MODEL, "note len=3", |_| true).await?;
     assert!(answer.complete);
@@ -53,7 +54,7 @@
 }
 
 #[compio::test]
-async fn a_wrong_request_is_told_what_is_wrong() -> anyhow::Result<()> {
+async fn invalid_requests_get_specific_errors() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
     let at = fleet.entry_addrs[0];
     let long = format!("{{\"model\": \"{MODEL}\", \"prompt\": \"{}\"}}", "a".repeat(2 << 20));
@@ -76,17 +77,17 @@
         assert!(answer.contains(part), "{path}: {answer}");
         assert_eq!(parts.headers["x-hatchpitch-outcome"], "not_run");
     }
-    let stranger = Caller { key: "not-a-key".to_owned() };
+    let unauthorized = Caller { key: "not-a-key".to_owned() };
     for path in ["/v1/chat/completions", "/ops/status", "/ops/drain"] {
         let (parts, _) =
-            stranger.call(at, Method::POST, path, HeaderMap::new(), Bytes::new()).await?;
+            unauthorized.call(at, Method::POST, path, HeaderMap::new(), Bytes::new()).await?;
         assert_eq!(parts.status, 401, "{path}");
     }
     Ok(())
 }
 
 #[compio::test]
-async fn no_key_and_no_prompt_stands_in_any_log() -> anyhow::Result<()> {
+async fn logs_contain_no_keys_or_prompts() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
     let prompt = "a-prompt-that-nobody-else-uses len=5";
     let caller = fleet.caller(0);
@@ -94,7 +95,7 @@
     assert!(answer.complete);
     for process in fleet.entry.iter().chain(&fleet.control) {
         let log = process.log();
-        assert!(!log.is_empty(), "{} has a log", process.name);
+        assert!(!log.is_empty(), "{} has an empty log", process.name);
         for secret in
             ["a-prompt-that-nobody-else-uses", caller.key.as_str(), "only the boxes share"]
         {
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes.
+//! Requests through a complete fleet of separate processes, from caller to engine or service.
 
 use bytes::Bytes;
 use hatchpitch_e2e::fleet::MODEL;
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method};
 
 #[compio::test]
-async fn a_request_is_served_from_end_to_end() -> anyhow::Result<()> {
+async fn chat_request_is_served_end_to_end() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape::default()).await?;
     let caller = fleet.caller(0);
 
@@ -21,15 +21,15 @@
     for (i, token) in answer.tokens.iter().enumerate() {
         assert_eq!(token.index, i as u64);
     }
-    let mut made = fleet.ledger(0).await?;
-    made.extend(fleet.ledger(1).await?);
-    assert_eq!(made.len(), 1);
-    assert_eq!(made[0].tokens.concat(), answer.text());
+    let mut generations = fleet.ledger(0).await?;
+    generations.extend(fleet.ledger(1).await?);
+    assert_eq!(generations.len(), 1);
+    assert_eq!(generations[0].tokens.concat(), answer.text());
     Ok(())
 }
 
 #[compio::test]
-async fn services_are_called_and_quotes_run_once() -> anyhow::Result<()> {
+async fn service_calls_succeed_and_quotes_run_once() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape::default()).await?;
     let caller = fleet.caller(1);
     let at = fleet.entry_addrs[0];
@@ -55,7 +55,7 @@
         assert!(String::from_utf8_lossy(&body).contains("\"run\":1"));
     }
     let runs: std::collections::BTreeMap<String, u64> =
-        fleet.standin_json(fleet.app_addrs[0], "/admin/ledger").await?;
+        fleet.get_standin_json(fleet.app_addrs[0], "/admin/ledger").await?;
     assert_eq!(runs.get("loan-17"), Some(&1));
     Ok(())
 }
--- a/crates/e2e/tests/ports.rs
+++ b/crates/e2e/tests/ports.rs
@@ -1,29 +1,32 @@
-//! Ports that are looked for while other tests of a program start processes.
+//! Free ports are reserved while other threads spawn processes.
+//!
+//! A child between `fork` and `exec` inherits listening sockets, so that a port that was just
+//! released could not be bound.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use hatchpitch_e2e::process::{Process, no_process_starts};
 
-/// Threads that start processes.
-const STARTERS: usize = 6;
-/// Times that a port is looked for and bound.
-const TRIES: usize = 2_000;
+/// Number of threads that spawn processes.
+const SPAWNERS: usize = 6;
+/// Number of ports that are reserved and bound again.
+const ATTEMPTS: usize = 2_000;
 
-/// Finds a port and gives it back.
-fn find() -> SocketAddr {
-    let _alone = no_process_starts();
+/// Returns the address of a free port after releasing it.
+fn find_free_port() -> SocketAddr {
+    let _spawn_guard = no_process_starts();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
 #[test]
-fn a_port_that_was_found_can_be_bound_while_processes_start() {
-    let folder = tempfile::tempdir().unwrap();
+fn free_port_can_be_bound_while_processes_are_spawned() {
+    let dir = tempfile::tempdir().unwrap();
     let done = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        for starter in 0..STARTERS {
-            let (log, done) = (folder.path().join(starter.to_string()), &done);
+        for spawner in 0..SPAWNERS {
+            let (log, done) = (dir.path().join(spawner.to_string()), &done);
             scope.spawn(move || {
                 while !done.load(Ordering::Relaxed) {
                     let args = vec!["--help".to_owned()];
@@ -31,8 +34,9 @@
                 }
             });
         }
-        let refused = (0..TRIES).filter(|_| TcpListener::bind(find()).is_err()).count();
+        let failures =
+            (0..ATTEMPTS).filter(|_| TcpListener::bind(find_free_port()).is_err()).count();
         done.store(true, Ordering::Relaxed);
-        assert_eq!(refused, 0, "ports that could not be bound");
+        assert_eq!(failures, 0, "some ports could not be bound");
     });
 }
--- a/crates/e2e/tests/rests.rs
+++ b/crates/e2e/tests/rests.rs
@@ -1,5 +1,5 @@
-//! Engines and services of the fleet file that ask a box for rest, or say that they leave, on the
-//! paths of chat and of calls to applications.
+//! Engines and services that request a pause with `Retry-After` or announce that they leave, for
+//! generations and for application calls.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,37 +11,42 @@
 use http::{HeaderMap, Method};
 use serde::Serialize;
 
+/// Number of concurrent callers.
 const CALLERS: usize = 6;
-/// Pause of a caller between two requests.
+/// Pause of a caller between requests.
 const PAUSE: Duration = Duration::from_millis(60);
-/// Rest that is asked for; what the one box may send between half a second after it was asked and
-/// its end; and the time until it has been asked and that half second is over.
-const REST: &str = "2.5";
-const ALLOWED: usize = 2;
+/// Value of `Retry-After`, in seconds.
+const RETRY_AFTER: &str = "2.5";
+/// Maximum number of requests that the box may send to a pausing or leaving upstream after
+/// [`SETTLED`] or [`DRAINED`].
+const MAX_SENT: usize = 2;
+/// Time until the box has received `Retry-After` and another 500 ms have passed.
 const SETTLED: Duration = Duration::from_millis(900);
+/// Duration of a load phase. [`SETTLED`] and this fit into [`RETRY_AFTER`].
 const LOAD: Duration = Duration::from_millis(1_300);
-/// Time within which an upstream that leaves gets no more requests.
+/// Time after which a leaving upstream must not get new requests.
 const DRAINED: Duration = Duration::from_secs(2);
 
-/// Gives an order to a stand-in.
-async fn order<T: Serialize>(
+/// Configures a stand-in through one of its `/admin/` paths.
+async fn configure<T: Serialize>(
     fleet: &TestFleet,
     at: SocketAddr,
     path: &str,
     value: T,
 ) -> anyhow::Result<()> {
     let body = Bytes::from(serde_json::to_vec(&value)?);
-    fleet.standin(at, Method::POST, path, body).await?;
+    fleet.call_standin(at, Method::POST, path, body).await?;
     Ok(())
 }
 
-async fn arrivals(fleet: &TestFleet, at: SocketAddr) -> anyhow::Result<usize> {
-    let arrivals: Vec<u64> = fleet.standin_json(at, "/admin/arrivals").await?;
+/// Returns the number of requests that reached a stand-in.
+async fn arrival_count(fleet: &TestFleet, at: SocketAddr) -> anyhow::Result<usize> {
+    let arrivals: Vec<u64> = fleet.get_standin_json(at, "/admin/arrivals").await?;
     Ok(arrivals.len())
 }
 
-/// Sends requests for a while; returns the statuses.
-async fn load<F: Future<Output = anyhow::Result<u16>>>(
+/// Sends requests for the given time; returns the statuses.
+async fn run_load<F: Future<Output = anyhow::Result<u16>>>(
     time: Duration,
     send: impl Fn() -> F,
 ) -> anyhow::Result<Vec<u16>> {
@@ -58,7 +63,7 @@
     Ok(callers?.into_iter().flatten().collect())
 }
 
-/// Calls a service once; each call has a key of its own.
+/// Calls a service once with a new idempotency key.
 async fn call(fleet: &TestFleet, method: Method, path: &str) -> anyhow::Result<u16> {
     let mut headers = HeaderMap::new();
     headers.insert("idempotency-key", hatchpitch::ids::new_id().parse()?);
@@ -70,86 +75,87 @@
     Ok(parts.status.as_u16())
 }
 
-/// Asks for a short generation.
+/// Requests a short generation; returns 503 if it ended with an error.
 async fn chat(fleet: &TestFleet) -> anyhow::Result<u16> {
     let answer = fleet.caller(0).chat(fleet.entry_addrs[0], MODEL, "short len=3", |_| true).await?;
     Ok(if answer.error.is_some() { 503 } else { 200 })
 }
 
-/// Has the first upstream ask for rest, then none, under this load; returns the statuses.
-async fn check_rest<F: Future<Output = anyhow::Result<u16>>>(
+/// Checks under load that a pausing upstream gets no requests and gets them again afterwards;
+/// returns the statuses.
+async fn check_pause<F: Future<Output = anyhow::Result<u16>>>(
     fleet: &TestFleet,
-    resting: SocketAddr,
+    paused: SocketAddr,
     send: impl Fn() -> F,
 ) -> anyhow::Result<Vec<u16>> {
-    order(fleet, resting, "/admin/rest", Some(REST)).await?;
-    let mut statuses = load(SETTLED, &send).await?;
-    let before = arrivals(fleet, resting).await?;
-    statuses.extend(load(LOAD, &send).await?);
-    let sent = arrivals(fleet, resting).await? - before;
-    println!("{sent} in a rest");
-    anyhow::ensure!(sent <= ALLOWED, "{sent} in a rest");
-    // The rest ends, and work comes back.
-    order(fleet, resting, "/admin/rest", None::<&str>).await?;
-    let before = arrivals(fleet, resting).await?;
-    statuses.extend(load(2 * LOAD, &send).await?);
-    let sent = arrivals(fleet, resting).await? - before;
-    anyhow::ensure!(sent > 2 * ALLOWED, "{sent} after a rest");
+    configure(fleet, paused, "/admin/rest", Some(RETRY_AFTER)).await?;
+    let mut statuses = run_load(SETTLED, &send).await?;
+    let before = arrival_count(fleet, paused).await?;
+    statuses.extend(run_load(LOAD, &send).await?);
+    let sent = arrival_count(fleet, paused).await? - before;
+    println!("{sent} during a pause");
+    anyhow::ensure!(sent <= MAX_SENT, "{sent} during a pause");
+    // After the pause the upstream gets requests again.
+    configure(fleet, paused, "/admin/rest", None::<&str>).await?;
+    let before = arrival_count(fleet, paused).await?;
+    statuses.extend(run_load(2 * LOAD, &send).await?);
+    let sent = arrival_count(fleet, paused).await? - before;
+    anyhow::ensure!(sent > 2 * MAX_SENT, "{sent} after a pause");
     Ok(statuses)
 }
 
-/// Has the first upstream say that it leaves; returns the statuses under this load.
+/// Checks under load that a leaving upstream gets no new requests; returns the statuses.
 async fn check_leaving<F: Future<Output = anyhow::Result<u16>>>(
     fleet: &TestFleet,
-    leaver: SocketAddr,
+    leaving: SocketAddr,
     send: impl Fn() -> F,
 ) -> anyhow::Result<Vec<u16>> {
-    order(fleet, leaver, "/admin/say-leaving", true).await?;
-    let mut statuses = load(DRAINED, &send).await?;
-    let before = arrivals(fleet, leaver).await?;
-    statuses.extend(load(LOAD, &send).await?);
-    let sent = arrivals(fleet, leaver).await? - before;
-    println!("{sent} to one that leaves");
-    anyhow::ensure!(sent <= ALLOWED, "{sent} to one that leaves");
+    configure(fleet, leaving, "/admin/say-leaving", true).await?;
+    let mut statuses = run_load(DRAINED, &send).await?;
+    let before = arrival_count(fleet, leaving).await?;
+    statuses.extend(run_load(LOAD, &send).await?);
+    let sent = arrival_count(fleet, leaving).await? - before;
+    println!("{sent} to a leaving upstream");
+    anyhow::ensure!(sent <= MAX_SENT, "{sent} to a leaving upstream");
     Ok(statuses)
 }
 
 #[compio::test]
-async fn a_service_that_asked_for_rest_gets_no_calls() -> anyhow::Result<()> {
+async fn paused_service_gets_no_calls() -> anyhow::Result<()> {
     let fleet =
         TestFleet::start(Shape { entry: 1, engines: 0, apps: 2, ..Shape::default() }).await?;
     for (method, path) in [(Method::GET, "/rates"), (Method::POST, "/payoff")] {
         let send = || call(&fleet, method.clone(), path);
-        let statuses = check_rest(&fleet, fleet.app_addrs[0], send).await?;
+        let statuses = check_pause(&fleet, fleet.app_addrs[0], send).await?;
         assert!(statuses.iter().all(|status| *status == 200), "{path}: {statuses:?}");
     }
     Ok(())
 }
 
 #[compio::test]
-async fn calls_that_no_service_wants_are_refused_at_once() -> anyhow::Result<()> {
+async fn calls_are_refused_immediately_while_all_services_pause() -> anyhow::Result<()> {
     let fleet =
         TestFleet::start(Shape { entry: 1, engines: 0, apps: 1, ..Shape::default() }).await?;
-    order(&fleet, fleet.app_addrs[0], "/admin/rest", Some(REST)).await?;
+    configure(&fleet, fleet.app_addrs[0], "/admin/rest", Some(RETRY_AFTER)).await?;
     for (method, path) in [(Method::GET, "/rates"), (Method::POST, "/payoff")] {
         let started = Instant::now();
         assert_eq!(call(&fleet, method, path).await?, 503);
         assert!(started.elapsed() < Duration::from_millis(700), "{:?}", started.elapsed());
     }
-    assert!(arrivals(&fleet, fleet.app_addrs[0]).await? <= ALLOWED);
+    assert!(arrival_count(&fleet, fleet.app_addrs[0]).await? <= MAX_SENT);
     Ok(())
 }
 
 #[compio::test]
-async fn an_engine_that_asked_for_rest_gets_no_generations() -> anyhow::Result<()> {
+async fn paused_engine_gets_no_generations() -> anyhow::Result<()> {
     let fleet =
         TestFleet::start(Shape { entry: 1, engines: 2, apps: 0, ..Shape::default() }).await?;
-    check_rest(&fleet, fleet.engine_addrs[0], || chat(&fleet)).await?;
+    check_pause(&fleet, fleet.engine_addrs[0], || chat(&fleet)).await?;
     Ok(())
 }
 
 #[compio::test]
-async fn a_service_that_says_it_leaves_gets_no_calls() -> anyhow::Result<()> {
+async fn leaving_service_gets_no_calls() -> anyhow::Result<()> {
     let fleet =
         TestFleet::start(Shape { entry: 1, engines: 0, apps: 2, ..Shape::default() }).await?;
     let send = || call(&fleet, Method::GET, "/rates");
--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -1,12 +1,14 @@
-//! Streams under faults, through real processes: every token once, in order, from one generation.
+//! Streamed answers of real processes under faults. Each token arrives once, in order and from a
+//! single generation.
 
 use std::time::{Duration, Instant};
 
-use hatchpitch_e2e::fleet::{MODEL, PATIENCE};
+use hatchpitch_e2e::fleet::{MODEL, WAIT_TIMEOUT};
 use hatchpitch_e2e::{Shape, TestFleet};
 use hatchpitch_standins::caller::Answer;
 use hatchpitch_standins::engine::server::{Fault, LedgerRow};
 
+/// Returns the generations of all engines that respond.
 async fn ledgers(fleet: &TestFleet) -> Vec<LedgerRow> {
     let mut rows = Vec::new();
     for i in 0..fleet.engine_addrs.len() {
@@ -15,20 +17,20 @@
     rows
 }
 
-/// Checks that what the caller saw is a beginning of exactly one generation.
-fn check_tokens(answer: &Answer, made: &[LedgerRow]) {
+/// Checks that the received tokens are a prefix of exactly one generation.
+fn check_tokens(answer: &Answer, generations: &[LedgerRow]) {
     for (i, token) in answer.tokens.iter().enumerate() {
-        assert_eq!(token.index, i as u64, "each token once and in order");
+        assert_eq!(token.index, i as u64, "tokens out of order or duplicated");
     }
     let seen: Vec<&str> = answer.tokens.iter().map(|t| t.text.as_str()).collect();
-    let sources = made.iter().filter(|row| {
+    let sources = generations.iter().filter(|row| {
         row.tokens.len() >= seen.len() && row.tokens.iter().zip(&seen).all(|(a, b)| a == b)
     });
-    assert_eq!(sources.count(), 1, "from a single generation");
+    assert_eq!(sources.count(), 1, "tokens do not come from a single generation");
 }
 
-/// Plays a fault on the only engine; the answer has to be whole all the same.
-async fn answer_is_whole_under(fault: Fault, length: usize) -> anyhow::Result<()> {
+/// Checks that an answer is complete despite a fault of the only engine.
+async fn check_complete_despite(fault: Fault, length: usize) -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
     fleet.set_fault(0, fault).await?;
     let prompt = format!("report len={length}");
@@ -40,26 +42,25 @@
 }
 
 #[compio::test]
-async fn a_link_that_breaks_is_made_anew() -> anyhow::Result<()> {
-    answer_is_whole_under(Fault::Break { after: 10, links: 1 }, 60).await
+async fn broken_link_is_reconnected() -> anyhow::Result<()> {
+    check_complete_despite(Fault::Break { after: 10, links: 1 }, 60).await
 }
 
 #[compio::test]
-async fn a_link_that_stalls_without_closing_is_made_anew() -> anyhow::Result<()> {
-    answer_is_whole_under(Fault::Stall { after: 10, links: 1 }, 60).await
+async fn stalled_link_is_reconnected() -> anyhow::Result<()> {
+    check_complete_despite(Fault::Stall { after: 10, links: 1 }, 60).await
 }
 
 #[compio::test]
-async fn doubled_crossed_and_reordered_tokens_are_not_passed_on() -> anyhow::Result<()> {
+async fn duplicate_foreign_and_reordered_tokens_are_filtered() -> anyhow::Result<()> {
     for fault in [Fault::Duplicate, Fault::Crossed, Fault::Reorder { at: 5 }] {
-        answer_is_whole_under(fault, 30).await?;
+        check_complete_despite(fault, 30).await?;
     }
     Ok(())
 }
 
 #[compio::test]
-async fn an_engine_that_dies_before_the_first_token_is_made_up_for_elsewhere() -> anyhow::Result<()>
-{
+async fn engine_crash_before_first_token_is_retried_elsewhere() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape { entry: 1, ..Shape::default() }).await?;
     fleet.set_fault(0, Fault::Die { at: 0 }).await?;
     fleet.set_fault(1, Fault::None).await?;
@@ -73,8 +74,7 @@
 }
 
 #[compio::test]
-async fn an_engine_that_dies_after_a_token_ends_the_answer_at_once_and_says_so()
--> anyhow::Result<()> {
+async fn engine_crash_after_a_token_ends_answer_with_typed_error() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
     fleet.set_fault(0, Fault::Die { at: 10 }).await?;
     let caller = fleet.caller(0);
@@ -89,7 +89,7 @@
 }
 
 #[compio::test]
-async fn an_answer_is_resumed_at_another_box_after_its_box_was_killed() -> anyhow::Result<()> {
+async fn answer_resumes_at_another_box_after_box_crash() -> anyhow::Result<()> {
     let mut fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
     let caller = fleet.caller(0);
     let (first, second) = (fleet.entry_addrs[0], fleet.entry_addrs[1]);
@@ -109,7 +109,7 @@
 }
 
 #[compio::test]
-async fn a_response_is_not_read_by_another_workspace() -> anyhow::Result<()> {
+async fn response_is_not_readable_by_another_workspace() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
     let at = fleet.entry_addrs[0];
     let own = fleet.caller(0).chat(at, MODEL, "report len=50", |t| t.index < 5).await?;
@@ -126,7 +126,7 @@
 }
 
 #[compio::test]
-async fn a_generation_that_its_caller_left_is_cancelled() -> anyhow::Result<()> {
+async fn abandoned_generation_is_cancelled() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape {
         entry: 1,
         engines: 1,
@@ -138,17 +138,17 @@
     caller.chat(fleet.entry_addrs[0], MODEL, "report len=3000", |t| t.index < 5).await?;
     let started = Instant::now();
     while !ledgers(&fleet).await.iter().any(|row| row.cancelled) {
-        assert!(started.elapsed() < PATIENCE, "the generation goes on");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the generation was not cancelled");
         compio::time::sleep(Duration::from_millis(50)).await;
     }
     Ok(())
 }
 
 #[compio::test]
-async fn an_upstream_that_leaves_gets_no_new_work_at_any_box() -> anyhow::Result<()> {
+async fn leaving_upstream_gets_no_new_work_at_any_box() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape::default()).await?;
     fleet
-        .standin(fleet.engine_addrs[0], http::Method::POST, "/admin/leave", Default::default())
+        .call_standin(fleet.engine_addrs[0], http::Method::POST, "/admin/leave", Default::default())
         .await?;
     for i in 0..3 {
         fleet
@@ -170,7 +170,7 @@
 }
 
 #[compio::test]
-async fn a_rolling_restart_under_load_loses_no_answer() -> anyhow::Result<()> {
+async fn rolling_restart_under_load_loses_no_answers() -> anyhow::Result<()> {
     let mut fleet = TestFleet::start(Shape::default()).await?;
     for i in 0..3 {
         let mut tasks = Vec::new();
@@ -185,11 +185,11 @@
         compio::time::sleep(Duration::from_millis(300)).await;
         fleet.entry[i].signal(libc::SIGTERM);
         for task in tasks {
-            let answer = task.await.expect("the task ran")?;
+            let answer = task.await.expect("the caller task completed")?;
             assert!(answer.complete, "{:?}", answer.error);
             check_tokens(&answer, &ledgers(&fleet).await);
         }
-        assert!(fleet.entry[i].wait_end(PATIENCE).await, "entry-{i} does not end");
+        assert!(fleet.entry[i].wait_end(WAIT_TIMEOUT).await, "entry-{i} did not exit");
         fleet.entry[i].restart()?;
         fleet.wait_in_force(1).await?;
     }
@@ -197,7 +197,7 @@
 }
 
 #[compio::test]
-async fn a_box_that_leaves_is_not_named_to_callers() -> anyhow::Result<()> {
+async fn leaving_box_is_not_listed_to_callers() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape::default()).await?;
     let caller = fleet.caller(0);
     let leaving = fleet.entry_addrs[0];
@@ -209,7 +209,7 @@
             if found.endpoints.iter().all(|e| e.addr != leaving) {
                 break;
             }
-            assert!(started.elapsed() < PATIENCE, "{leaving} is still named");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{leaving} is still listed");
             compio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -217,7 +217,7 @@
 }
 
 #[compio::test]
-async fn a_generation_that_waits_in_a_busy_engine_is_not_taken_for_lost() -> anyhow::Result<()> {
+async fn queued_generation_is_not_considered_lost() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape {
         entry: 1,
         engines: 1,
@@ -233,15 +233,15 @@
         }));
     }
     for task in tasks {
-        let answer = task.await.expect("the task ran")?;
+        let answer = task.await.expect("the caller task completed")?;
         assert!(answer.complete, "{:?}", answer.error);
     }
-    assert_eq!(ledgers(&fleet).await.len(), 3, "nothing was run twice");
+    assert_eq!(ledgers(&fleet).await.len(), 3, "a generation ran twice");
     Ok(())
 }
 
 #[compio::test]
-async fn an_answer_of_a_frozen_box_is_resumed_at_another_one() -> anyhow::Result<()> {
+async fn answer_of_suspended_box_resumes_at_another_box() -> anyhow::Result<()> {
     let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
     let caller = fleet.caller(0);
     let broken = caller.chat(fleet.entry_addrs[0], MODEL, "report len=200", |token| {
@@ -260,13 +260,13 @@
     compio::time::sleep(Duration::from_millis(500)).await;
     assert!(
         ledgers(&fleet).await.iter().all(|row| !row.cancelled),
-        "the old reader cancels nothing"
+        "the stale reader cancelled the generation"
     );
     Ok(())
 }
 
 #[compio::test]
-async fn every_token_is_right_under_a_random_schedule_of_kills() -> anyhow::Result<()> {
+async fn tokens_are_correct_under_scheduled_kills() -> anyhow::Result<()> {
     const REQUESTS: usize = 60;
     let mut fleet = TestFleet::start(Shape { engines: 3, ..Shape::default() }).await?;
     let mut tasks = Vec::new();
@@ -276,7 +276,8 @@
             let prompt = format!("report {i} len={}", 40 + i * 7 % 160);
             let mut at = i % 3;
             let mut answer = caller.chat(entries[at], MODEL, &prompt, |_| true).await;
-            // A caller whose box died reads on elsewhere, or asks anew if nothing came.
+            // If the box crashes, the caller resumes at another box, or starts over if it received
+            // no response token.
             for _ in 0..10 {
                 let broken = match answer {
                     Ok(answer) if answer.complete || answer.error.is_some() => return Some(answer),
@@ -293,7 +294,7 @@
             None
         }));
         compio::time::sleep(Duration::from_millis(40)).await;
-        // A fixed schedule: boxes die in turn, and one engine in the middle.
+        // Fixed schedule: boxes are killed in turn, and one engine is killed in between.
         match i {
             10 | 25 | 40 => {
                 let victim = i / 15 % 3;
@@ -306,34 +307,32 @@
     }
     let mut answers = Vec::new();
     for task in tasks {
-        answers.extend(task.await.expect("the task ran"));
+        answers.extend(task.await.expect("the caller task completed"));
     }
-    let made = ledgers(&fleet).await;
-    let whole = answers.iter().filter(|answer| answer.complete).count();
+    let generations = ledgers(&fleet).await;
+    let complete = answers.iter().filter(|answer| answer.complete).count();
     for answer in &answers {
-        let known = answer
-            .tokens
-            .first()
-            .is_some_and(|first| made.iter().any(|row| row.tokens.first() == Some(&first.text)));
-        // Of the engine that died there is no ledger; order and count are checked all the same.
+        let known = answer.tokens.first().is_some_and(|first| {
+            generations.iter().any(|row| row.tokens.first() == Some(&first.text))
+        });
+        // The ledger of the killed engine is lost, so only the order of its tokens is checked.
         if known {
-            check_tokens(answer, &made);
+            check_tokens(answer, &generations);
         }
         for (i, token) in answer.tokens.iter().enumerate() {
             assert_eq!(token.index, i as u64);
         }
     }
     println!(
-        "{whole} of {REQUESTS} answers are whole, {} ended with an error",
-        answers.len() - whole
+        "{complete} of {REQUESTS} answers are complete, {} ended with an error",
+        answers.len() - complete
     );
-    assert!(whole >= REQUESTS / 2, "{whole} of {REQUESTS}");
+    assert!(complete >= REQUESTS / 2, "{complete} of {REQUESTS}");
     Ok(())
 }
 
 #[compio::test]
-async fn a_caller_that_does_not_read_is_bounded_and_its_generation_cancelled() -> anyhow::Result<()>
-{
+async fn generations_of_non_reading_callers_are_cancelled() -> anyhow::Result<()> {
     use std::io::{Read as _, Write as _};
     let fleet = TestFleet::start(Shape {
         entry: 1,
@@ -343,7 +342,7 @@
         ..Shape::default()
     })
     .await?;
-    // Answers of several callers that read the head and then nothing, until buffers are full.
+    // Each caller reads the first bytes of the response and then stops, so that buffers fill up.
     let mut callers = Vec::new();
     for i in 0..12 {
         let body = format!(
@@ -364,13 +363,17 @@
     }
     let started = Instant::now();
     loop {
-        let made = ledgers(&fleet).await;
-        let running = made.iter().filter(|r| !r.cancelled && r.tokens.len() < 4_000).count();
+        let generations = ledgers(&fleet).await;
+        let running = generations.iter().filter(|r| !r.cancelled && r.tokens.len() < 4_000).count();
         let status = fleet.entry_status(0).await?;
         if running == 0 && status.streams.is_empty() {
             break;
         }
-        assert!(started.elapsed() < PATIENCE, "{running} still run, {:?}", status.streams);
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "{running} generations still running, {:?}",
+            status.streams
+        );
         compio::time::sleep(Duration::from_millis(100)).await;
     }
     drop(callers);
@@ -378,8 +381,7 @@
 }
 
 #[compio::test]
-async fn an_engine_reclaimed_at_short_notice_costs_only_what_it_could_not_finish()
--> anyhow::Result<()> {
+async fn reclaimed_engine_loses_only_unfinished_answers() -> anyhow::Result<()> {
     let mut fleet = TestFleet::start(Shape { entry: 2, ..Shape::default() }).await?;
     let mut tasks = Vec::new();
     for i in 0..12 {
@@ -391,14 +393,14 @@
     }
     compio::time::sleep(Duration::from_millis(100)).await;
     let notice = serde_json::to_vec(&1_500)?.into();
-    fleet.standin(fleet.engine_addrs[0], http::Method::POST, "/admin/reclaim", notice).await?;
+    fleet.call_standin(fleet.engine_addrs[0], http::Method::POST, "/admin/reclaim", notice).await?;
     for (i, task) in tasks.into_iter().enumerate() {
-        let answer = task.await.expect("the task ran")?;
-        let told = answer.error.as_ref().is_some_and(|e| e.error.kind == "engine_lost");
-        assert!(answer.complete || told, "{i}: {answer:?}");
-        assert!(answer.complete || i >= 6, "short answers end within the notice");
+        let answer = task.await.expect("the caller task completed")?;
+        let engine_lost = answer.error.as_ref().is_some_and(|e| e.error.kind == "engine_lost");
+        assert!(answer.complete || engine_lost, "{i}: {answer:?}");
+        assert!(answer.complete || i >= 6, "a short answer did not finish within the notice");
     }
-    assert!(fleet.engines[0].wait_end(PATIENCE).await);
+    assert!(fleet.engines[0].wait_end(WAIT_TIMEOUT).await);
     let after = fleet.caller(0).chat(fleet.entry_addrs[0], MODEL, "note len=5", |_| true).await?;
     assert!(after.complete, "{:?}", after.error);
     Ok(())
