--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -12,7 +12,7 @@
 use hatchpitch::membership::{MemberRecord, MemberStatus, Subject};
 use hatchpitch_e2e::fleet::MODEL;
 use hatchpitch_e2e::process::Usage;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use http::{HeaderMap, Method};
 
 use crate::report::{histogram, millis, table};
@@ -228,8 +228,8 @@
     text
 }
 
-fn shape(entry: usize) -> Shape {
-    Shape { control: 3, entry, engines: 2, apps: 0, ..Shape::default() }
+fn shape(entry: usize) -> FleetSpec {
+    FleetSpec { control: 3, entry, engines: 2, apps: 0, ..FleetSpec::default() }
 }
 
 /// Idle cost of an entry and a control process against the number of boxes.
@@ -356,7 +356,7 @@
 /// Claims a second with sync, from one to many at once.
 async fn claims() -> anyhow::Result<()> {
     const TIME: Duration = Duration::from_secs(3);
-    let shape = Shape { control: 3, entry: 3, engines: 0, apps: 3, ..Shape::default() };
+    let shape = FleetSpec { control: 3, entry: 3, engines: 0, apps: 3, ..FleetSpec::default() };
     let fleet = TestFleet::start(shape).await?;
     let mut rows = Vec::new();
     for at_once in [1_usize, 8, 64] {
@@ -435,13 +435,13 @@
 async fn tokens() -> anyhow::Result<()> {
     let mut rows = Vec::new();
     for length in [10_u64, 200] {
-        let shape = Shape {
+        let shape = FleetSpec {
             control: 1,
             entry: 1,
             engines: 4,
             apps: 0,
             engine_args: vec!["--memory".into(), "1000000".into()],
-            ..Shape::default()
+            ..FleetSpec::default()
         };
         let fleet = TestFleet::start(shape).await?;
         compio::time::sleep(SETTLE).await;
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -5,7 +5,7 @@
 use hatchpitch::engine::adapter;
 use hatchpitch::engine::{EngineEvent, GenerateRequest};
 use hatchpitch_e2e::fleet::MODEL;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_net::Upstream;
 
 use crate::report::{histogram, millis, table};
@@ -26,7 +26,7 @@
 ///
 /// Returns an error if the fleet does not start or an answer breaks off.
 pub async fn run(answers: usize) -> anyhow::Result<()> {
-    let shape = Shape { control: 1, entry: 3, engines: 1, apps: 0, ..Shape::default() };
+    let shape = FleetSpec { control: 1, entry: 3, engines: 1, apps: 0, ..FleetSpec::default() };
     let fleet = TestFleet::start(shape).await?;
     let (mut direct, mut through) = (Times::default(), Times::default());
     for i in 0..answers {
--- a/crates/bench/src/policies.rs
+++ b/crates/bench/src/policies.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context as _;
 use hatchpitch_e2e::fleet::{MODEL, WORKSPACES};
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_standins::engine::server::LedgerRow;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -116,7 +116,7 @@
     name: &str,
     settings: &str,
 ) -> anyhow::Result<(Run, Histogram<u64>)> {
-    let shape = Shape {
+    let shape = FleetSpec {
         control: 1,
         entry: plan.entry,
         engines: ENGINES,
--- a/crates/e2e/src/fleet.rs
+++ b/crates/e2e/src/fleet.rs
@@ -17,7 +17,7 @@
 use serde::de::DeserializeOwned;
 use tempfile::TempDir;
 
-use crate::process::{Process, no_process_starts};
+use crate::process::{Process, lock_process_spawning};
 
 /// Timeout of every condition that a test waits for.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -38,7 +38,7 @@
 
 /// Number of processes of each kind and their settings.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct FleetSpec {
     /// Number of control boxes.
     pub control: usize,
     /// Number of entry boxes.
@@ -53,7 +53,7 @@
     pub timing: Vec<String>,
 }
 
-impl Default for Shape {
+impl Default for FleetSpec {
     fn default() -> Self {
         Self {
             control: 3,
@@ -86,7 +86,7 @@
     pub app_addrs: Vec<SocketAddr>,
     /// Boxes' listeners of the entry boxes.
     pub entry_box_addrs: Vec<SocketAddr>,
-    shape: Shape,
+    spec: FleetSpec,
     dir: TempDir,
 }
 
@@ -106,8 +106,8 @@
     /// # Errors
     ///
     /// Returns an error if a process fails to start or the fleet does not become ready in time.
-    pub async fn start(shape: Shape) -> anyhow::Result<Self> {
-        let mut fleet = Self::launch(shape)?;
+    pub async fn start(spec: FleetSpec) -> anyhow::Result<Self> {
+        let mut fleet = Self::launch(spec)?;
         fleet.wait_ready().await?;
         fleet.apply(1).await?;
         fleet.wait_in_force(1).await?;
@@ -119,10 +119,10 @@
     /// # Errors
     ///
     /// Returns an error if a process cannot be started.
-    pub fn launch(shape: Shape) -> anyhow::Result<Self> {
+    pub fn launch(spec: FleetSpec) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
         std::fs::write(dir.path().join("box.key"), "a secret that only the boxes share")?;
-        let plan = AddressPlan::new(&shape)?;
+        let plan = AddressPlan::new(&spec)?;
         let mut fleet = Self {
             control: Vec::new(),
             entry: Vec::new(),
@@ -133,7 +133,7 @@
             entry_box_addrs: plan.entry.iter().map(|(_, boxes)| *boxes).collect(),
             engine_addrs: plan.engines.clone(),
             app_addrs: plan.apps.clone(),
-            shape,
+            spec,
             dir,
         };
         fleet.start_standins(&plan)?;
@@ -161,7 +161,7 @@
         for (i, addr) in plan.engines.iter().enumerate() {
             let mut args =
                 vec!["--listen".into(), addr.to_string(), "--model".into(), MODEL.into()];
-            args.extend(self.shape.engine_args.iter().cloned());
+            args.extend(self.spec.engine_args.iter().cloned());
             let name = format!("engine-{i}");
             let log = self.path(&format!("{name}.log"));
             self.engines.push(Process::start(&name, "standin-engine", args, log)?);
@@ -232,7 +232,7 @@
              log_level = \"debug\"\n{}\n[timing]\n{}\n",
             FAILURE_DOMAINS[i % FAILURE_DOMAINS.len()],
             self.box_keys(),
-            self.shape.timing.join("\n"),
+            self.spec.timing.join("\n"),
         )
     }
 
@@ -480,18 +480,18 @@
 const FAILURE_DOMAINS: [&str; 3] = ["domain-a", "domain-b", "domain-c"];
 
 impl AddressPlan {
-    fn new(shape: &Shape) -> anyhow::Result<Self> {
+    fn new(spec: &FleetSpec) -> anyhow::Result<Self> {
         // Held until the reserved ports are released at the end of this function.
-        let _spawn_guard = no_process_starts();
+        let _spawn_guard = lock_process_spawning();
         let ip = unique_loopback();
         let mut ports = PortAllocator { ip, listeners: Vec::new() };
         let mut pairs = |count: usize| -> anyhow::Result<Vec<(SocketAddr, SocketAddr)>> {
             (0..count).map(|_| Ok((ports.next()?, ports.next()?))).collect()
         };
-        let control = pairs(shape.control)?;
-        let entry = pairs(shape.entry)?;
-        let engines = (0..shape.engines).map(|_| ports.next()).collect::<Result<_, _>>()?;
-        let apps = (0..shape.apps).map(|_| ports.next()).collect::<Result<_, _>>()?;
+        let control = pairs(spec.control)?;
+        let entry = pairs(spec.entry)?;
+        let engines = (0..spec.engines).map(|_| ports.next()).collect::<Result<_, _>>()?;
+        let apps = (0..spec.apps).map(|_| ports.next()).collect::<Result<_, _>>()?;
         Ok(Self { control, entry, engines, apps })
     }
 }
--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -7,5 +7,5 @@
 pub mod process;
 mod ready;
 
-pub use fleet::{Shape, TestFleet};
+pub use fleet::{FleetSpec, TestFleet};
 pub use process::Process;
--- a/crates/e2e/src/process.rs
+++ b/crates/e2e/src/process.rs
@@ -20,7 +20,7 @@
 /// Between `fork` and `exec`, a child inherits all listening sockets of this program, so a port
 /// that was just released cannot be bound again. With six threads that spawn processes, this
 /// failed four times in ten.
-pub fn no_process_starts() -> MutexGuard<'static, ()> {
+pub fn lock_process_spawning() -> MutexGuard<'static, ()> {
     // The mutex protects no data, so a panic of a holder leaves nothing inconsistent.
     SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -66,7 +66,7 @@
     pub fn restart(&mut self) -> anyhow::Result<()> {
         self.kill();
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
-        let spawn_guard = no_process_starts();
+        let spawn_guard = lock_process_spawning();
         let child = Command::new(&self.bin)
             .args(&self.args)
             .stdin(Stdio::null())
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// Returns the error of `prlimit`.
-    pub fn bound_files(&self, bytes: Option<u64>) -> std::io::Result<()> {
+    pub fn limit_file_size(&self, bytes: Option<u64>) -> std::io::Result<()> {
         let Some(pid) = self.pid() else { return Ok(()) };
         let limit = libc::rlimit {
             rlim_cur: bytes.unwrap_or(libc::RLIM_INFINITY),
--- a/crates/e2e/tests/claims.rs
+++ b/crates/e2e/tests/claims.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_standins::app::AppFault;
 use http::{HeaderMap, Method};
 
@@ -37,13 +37,13 @@
     fleet.get_standin_json(fleet.app_addrs[0], "/admin/ledger").await
 }
 
-fn test_shape() -> Shape {
-    Shape { entry: 2, engines: 0, ..Shape::default() }
+fn test_spec() -> FleetSpec {
+    FleetSpec { entry: 2, engines: 0, ..FleetSpec::default() }
 }
 
 #[compio::test]
 async fn lost_reply_reports_unknown_outcome_and_runs_once() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(test_shape()).await?;
+    let fleet = TestFleet::start(test_spec()).await?;
     set_fault(&fleet, AppFault::LoseReply).await?;
     let (status, outcome, body) = request_quote(&fleet, fleet.entry_addrs[0], "q1", "{}").await?;
     assert_eq!((status, outcome.as_str()), (502, "unknown"), "{body}");
@@ -57,7 +57,7 @@
 
 #[compio::test]
 async fn unreachable_upstream_reports_not_run_and_allows_retry() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(test_shape()).await?;
+    let mut fleet = TestFleet::start(test_spec()).await?;
     fleet.apps[0].kill();
     let (status, outcome, body) = request_quote(&fleet, fleet.entry_addrs[0], "q1", "{}").await?;
     assert_eq!((status, outcome.as_str()), (503, "not_run"), "{body}");
@@ -75,7 +75,7 @@
 
 #[compio::test]
 async fn box_crash_between_claim_and_answer_causes_no_second_run() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(test_shape()).await?;
+    let mut fleet = TestFleet::start(test_spec()).await?;
     set_fault(&fleet, AppFault::Slow { ms: 800 }).await?;
     let first = {
         let (caller, at) = (fleet.caller(0), fleet.entry_addrs[0]);
@@ -97,7 +97,7 @@
 
 #[compio::test]
 async fn stored_answers_survive_leader_crashes() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(test_shape()).await?;
+    let mut fleet = TestFleet::start(test_spec()).await?;
     let (status, _, first) = request_quote(&fleet, fleet.entry_addrs[0], "q1", "{}").await?;
     assert_eq!(status, 200);
     for i in 0..3 {
@@ -116,7 +116,7 @@
 
 #[compio::test]
 async fn without_control_quorum_quotes_are_refused_and_rate_tables_served() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(test_shape()).await?;
+    let mut fleet = TestFleet::start(test_spec()).await?;
     fleet.control[0].kill();
     fleet.control[1].kill();
     let at = fleet.entry_addrs[0];
--- a/crates/e2e/tests/cli.rs
+++ b/crates/e2e/tests/cli.rs
@@ -4,7 +4,7 @@
 
 use hatchpitch_e2e::fleet::{MODEL, OPERATOR_KEY, WAIT_TIMEOUT};
 use hatchpitch_e2e::process::run;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_standins::engine::server::Fault;
 use serde_json::Value;
 
@@ -40,7 +40,7 @@
 
 #[compio::test]
 async fn check_diff_apply_get_and_status_work_as_documented() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
+    let fleet = TestFleet::start(FleetSpec { engines: 1, ..FleetSpec::default() }).await?;
     let two = fleet
         .write_file("two.toml", &fleet.fleet_file(2).replace("priority = 9", "priority = 8"))?;
     let other = fleet.write_file("other.toml", &fleet.fleet_file(2))?;
@@ -92,7 +92,7 @@
 
 #[compio::test]
 async fn evacuation_commands_work_as_documented() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
+    let fleet = TestFleet::start(FleetSpec { engines: 1, ..FleetSpec::default() }).await?;
     let order = |args: &[&str]| hatchpitch(&fleet, &[&["evacuation"], args].concat());
     let config = json(&hatchpitch(&fleet, &["--output", "json", "get"]));
     let domains = config.as_array().unwrap().iter().filter_map(|e| e.get("FailureDomain"));
@@ -125,7 +125,7 @@
 
 #[compio::test]
 async fn quarantine_commands_work_as_documented() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(Shape { engines: 3, ..Shape::default() }).await?;
+    let mut fleet = TestFleet::start(FleetSpec { engines: 3, ..FleetSpec::default() }).await?;
     assert!(hatchpitch(&fleet, &["quarantine", "list"]).1.contains("no request is held"));
     let wrong = hatchpitch(&fleet, &["quarantine", "release", "something"]);
     assert!(wrong.0 == 1 && wrong.1.contains("32 hexadecimal digits"), "{}", wrong.1);
@@ -156,7 +156,7 @@
 
 #[compio::test]
 async fn trace_shows_every_hop() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
+    let fleet = TestFleet::start(FleetSpec { engines: 1, ..FleetSpec::default() }).await?;
     let answer = fleet.caller(0).chat(fleet.entry_addrs[1], MODEL, "note len=3", |_| true).await?;
     let started = Instant::now();
     loop {
@@ -172,7 +172,7 @@
 
 #[compio::test]
 async fn drain_waits_for_running_requests() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
+    let fleet = TestFleet::start(FleetSpec { engines: 1, ..FleetSpec::default() }).await?;
     let (caller, at) = (fleet.caller(0), fleet.entry_addrs[2]);
     let answer =
         compio::runtime::spawn(
@@ -196,7 +196,8 @@
 
 #[compio::test]
 async fn workspace_keys_rotate_without_downtime() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
+    let fleet =
+        TestFleet::start(FleetSpec { entry: 1, engines: 1, ..FleetSpec::default() }).await?;
     let new = json(&run("hatchpitch", &["--output", "json", "key"])?);
     let (key, digest) = (new["key"].as_str().unwrap(), new["sha256"].as_str().unwrap());
     let old =
--- a/crates/e2e/tests/control.rs
+++ b/crates/e2e/tests/control.rs
@@ -10,7 +10,7 @@
 use hatchpitch::control::operators::ControlStatus;
 use hatchpitch::control::repair::Repaired;
 use hatchpitch_e2e::fleet::WAIT_TIMEOUT;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_net::keys::to_hex;
 use http::Method;
 
@@ -36,13 +36,13 @@
     anyhow::bail!("no leader among the eligible control boxes")
 }
 
-fn small_shape() -> Shape {
-    Shape { entry: 2, engines: 1, apps: 0, ..Shape::default() }
+fn small_spec() -> FleetSpec {
+    FleetSpec { entry: 2, engines: 1, apps: 0, ..FleetSpec::default() }
 }
 
 #[compio::test]
 async fn killed_leader_is_replaced_without_losing_accepted_changes() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small_shape()).await?;
+    let mut fleet = TestFleet::start(small_spec()).await?;
     for number in 2..=4 {
         let leader = wait_leader(&fleet, |_| true).await?;
         fleet.control[leader].kill();
@@ -62,7 +62,7 @@
 
 #[compio::test]
 async fn resumed_stale_leader_cannot_accept_changes() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(small_shape()).await?;
+    let fleet = TestFleet::start(small_spec()).await?;
     let old = wait_leader(&fleet, |_| true).await?;
     fleet.control[old].freeze();
     let new = wait_leader(&fleet, |i| i != old).await?;
@@ -83,7 +83,7 @@
 
 #[compio::test]
 async fn concurrent_submissions_have_one_winner_and_resends_are_idempotent() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small_shape()).await?;
+    let mut fleet = TestFleet::start(small_spec()).await?;
     let mut winners: BTreeMap<u64, String> = BTreeMap::new();
     for number in 2..=9 {
         let one = fleet.fleet_file(number);
@@ -132,7 +132,7 @@
 
 #[compio::test]
 async fn repaired_disk_loss_tolerates_a_second_disk_loss() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small_shape()).await?;
+    let mut fleet = TestFleet::start(small_spec()).await?;
     for number in 2..=5 {
         fleet.apply(number).await?;
     }
@@ -174,7 +174,7 @@
 
 #[compio::test]
 async fn box_with_lost_disk_does_not_start_a_new_log() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small_shape()).await?;
+    let mut fleet = TestFleet::start(small_spec()).await?;
     let lost = 1;
     fleet.control[lost].kill();
     std::fs::remove_dir_all(fleet.data_dir(lost))?;
@@ -197,7 +197,7 @@
 
 #[compio::test]
 async fn restarted_entry_box_catches_up_with_hundreds_of_changes() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(small_shape()).await?;
+    let mut fleet = TestFleet::start(small_spec()).await?;
     fleet.entry[0].kill();
     for number in 2..=200 {
         fleet.apply(number).await?;
@@ -209,7 +209,7 @@
 
 #[compio::test]
 async fn only_the_leader_serves_configuration_reads() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(small_shape()).await?;
+    let fleet = TestFleet::start(small_spec()).await?;
     let leader = wait_leader(&fleet, |_| true).await?;
     let file = Bytes::from(fleet.fleet_file(2));
     for (i, at) in fleet.control_addrs.iter().enumerate() {
@@ -239,7 +239,7 @@
 
 #[compio::test]
 async fn large_change_is_delivered_to_a_box_once() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(small_shape()).await?;
+    let fleet = TestFleet::start(small_spec()).await?;
     let mut file = fleet.fleet_file(2);
     for i in 0..2_000 {
         file.push_str(&format!(
--- a/crates/e2e/tests/input.rs
+++ b/crates/e2e/tests/input.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use hatchpitch_e2e::fleet::MODEL;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_standins::caller::Caller;
 use http::{HeaderMap, Method};
 
@@ -27,7 +27,7 @@
 
 #[compio::test]
 async fn every_listener_rejects_invalid_input_and_keeps_serving() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(Shape::default()).await?;
+    let mut fleet = TestFleet::start(FleetSpec::default()).await?;
     let mut listeners = fleet.entry_addrs.clone();
     listeners.extend(&fleet.control_addrs);
     listeners.extend(&fleet.entry_box_addrs);
@@ -55,7 +55,8 @@
 
 #[compio::test]
 async fn invalid_requests_get_specific_errors() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
+    let fleet =
+        TestFleet::start(FleetSpec { entry: 1, engines: 1, ..FleetSpec::default() }).await?;
     let at = fleet.entry_addrs[0];
     let long = format!("{{\"model\": \"{MODEL}\", \"prompt\": \"{}\"}}", "a".repeat(2 << 20));
     let cases: [(&str, &str, u16, &str); 8] = [
@@ -88,7 +89,7 @@
 
 #[compio::test]
 async fn logs_contain_no_keys_or_prompts() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
+    let fleet = TestFleet::start(FleetSpec { engines: 1, ..FleetSpec::default() }).await?;
     let prompt = "a-prompt-that-nobody-else-uses len=5";
     let caller = fleet.caller(0);
     let answer = caller.chat(fleet.entry_addrs[0], MODEL, prompt, |_| true).await?;
--- a/crates/e2e/tests/limits.rs
+++ b/crates/e2e/tests/limits.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use hatchpitch_e2e::fleet::MODEL;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use http::{HeaderMap, Method};
 
 /// Number of entry boxes.
@@ -87,8 +87,8 @@
 
 #[compio::test]
 async fn application_calls_respect_limits_across_boxes() -> anyhow::Result<()> {
-    let shape = Shape { entry: BOXES, engines: 0, apps: 2, ..Shape::default() };
-    let fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: BOXES, engines: 0, apps: 2, ..FleetSpec::default() };
+    let fleet = TestFleet::start(spec).await?;
     for (method, path) in [(Method::GET, "/rates"), (Method::POST, "/payoff")] {
         let mut since = Vec::new();
         for at in &fleet.app_addrs {
@@ -127,8 +127,8 @@
 /// A joining box that has not yet learned of a limit must not forward a whole burst of requests.
 #[compio::test]
 async fn joining_box_learns_limits_before_forwarding_bursts() -> anyhow::Result<()> {
-    let shape = Shape { entry: BOXES, engines: 0, apps: 1, ..Shape::default() };
-    let mut fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: BOXES, engines: 0, apps: 1, ..FleetSpec::default() };
+    let mut fleet = TestFleet::start(spec).await?;
     let app = fleet.app_addrs[0];
     set_limit(&fleet, app, Some(2.0)).await?;
     run_load(LOAD / 2, |at| call(&fleet, at, Method::GET, "/rates")).await?;
@@ -173,8 +173,8 @@
 
 #[compio::test]
 async fn generations_respect_limits_across_boxes() -> anyhow::Result<()> {
-    let shape = Shape { entry: BOXES, engines: 2, apps: 0, ..Shape::default() };
-    let fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: BOXES, engines: 2, apps: 0, ..FleetSpec::default() };
+    let fleet = TestFleet::start(spec).await?;
     let since = set_engine_limits(&fleet, Some(3.0)).await?;
     run_load(LOAD, |at| chat(&fleet, at)).await?;
     let most = max_per_window_at_engines(&fleet, &since).await?;
@@ -185,8 +185,8 @@
 /// The owner of an engine learns of a new or lifted limit from the boxes that forward requests.
 #[compio::test]
 async fn owners_learn_limits_from_other_boxes() -> anyhow::Result<()> {
-    let shape = Shape { entry: BOXES, engines: 2, apps: 0, ..Shape::default() };
-    let mut fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: BOXES, engines: 2, apps: 0, ..FleetSpec::default() };
+    let mut fleet = TestFleet::start(spec).await?;
     for box_at in 0..2 {
         // All requests arrive at one box, which may own any number of the engines.
         let since = set_engine_limits(&fleet, Some(3.0)).await?;
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -2,12 +2,12 @@
 
 use bytes::Bytes;
 use hatchpitch_e2e::fleet::MODEL;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use http::{HeaderMap, Method};
 
 #[compio::test]
 async fn chat_request_is_served_end_to_end() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape::default()).await?;
+    let fleet = TestFleet::start(FleetSpec::default()).await?;
     let caller = fleet.caller(0);
 
     let found = caller.endpoints(fleet.entry_addrs[1]).await?;
@@ -30,7 +30,7 @@
 
 #[compio::test]
 async fn service_calls_succeed_and_quotes_run_once() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape::default()).await?;
+    let fleet = TestFleet::start(FleetSpec::default()).await?;
     let caller = fleet.caller(1);
     let at = fleet.entry_addrs[0];
 
--- a/crates/e2e/tests/ports.rs
+++ b/crates/e2e/tests/ports.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use hatchpitch_e2e::process::{Process, no_process_starts};
+use hatchpitch_e2e::process::{Process, lock_process_spawning};
 
 /// Number of threads that spawn processes.
 const SPAWNERS: usize = 6;
@@ -15,7 +15,7 @@
 
 /// Returns the address of a free port after releasing it.
 fn find_free_port() -> SocketAddr {
-    let _spawn_guard = no_process_starts();
+    let _spawn_guard = lock_process_spawning();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
--- a/crates/e2e/tests/quarantine.rs
+++ b/crates/e2e/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use hatchpitch_e2e::fleet::{MODEL, WAIT_TIMEOUT};
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_standins::app::AppFault;
 use hatchpitch_standins::engine::server::Fault;
 use http::{HeaderMap, Method};
@@ -47,8 +47,8 @@
     path: &str,
     other: &str,
 ) -> anyhow::Result<()> {
-    let shape = Shape { entry: 2, engines: 0, apps: UPSTREAMS, ..Shape::default() };
-    let mut fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: 2, engines: 0, apps: UPSTREAMS, ..FleetSpec::default() };
+    let mut fleet = TestFleet::start(spec).await?;
     let fault = Bytes::from(serde_json::to_vec(&AppFault::Die)?);
     for addr in fleet.app_addrs.clone() {
         fleet.call_standin(addr, Method::POST, "/admin/fault", fault.clone()).await?;
@@ -120,8 +120,8 @@
 
 #[compio::test]
 async fn generation_that_crashes_engines_is_refused_at_every_box() -> anyhow::Result<()> {
-    let shape = Shape { entry: 2, engines: UPSTREAMS, apps: 0, ..Shape::default() };
-    let mut fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: 2, engines: UPSTREAMS, apps: 0, ..FleetSpec::default() };
+    let mut fleet = TestFleet::start(spec).await?;
     generate_until_refused(&mut fleet, &[0, 1]).await?;
     let started = Instant::now();
     for engine in &mut fleet.engines {
@@ -140,8 +140,8 @@
 
 #[compio::test]
 async fn without_control_boxes_local_crash_evidence_applies() -> anyhow::Result<()> {
-    let shape = Shape { entry: 2, engines: UPSTREAMS, apps: 0, ..Shape::default() };
-    let mut fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: 2, engines: UPSTREAMS, apps: 0, ..FleetSpec::default() };
+    let mut fleet = TestFleet::start(spec).await?;
     for control in &mut fleet.control {
         control.kill();
     }
--- a/crates/e2e/tests/ready.rs
+++ b/crates/e2e/tests/ready.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 
 use hatchpitch_e2e::fleet::{MODEL, WAIT_TIMEOUT};
-use hatchpitch_e2e::{Process, Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, Process, TestFleet};
 use hatchpitch_standins::engine::server::Fault;
 
 /// Start delay in milliseconds, far longer than the boxes of a fleet take to start.
@@ -12,16 +12,16 @@
 #[compio::test]
 async fn fleet_waits_for_slow_engine_start() -> anyhow::Result<()> {
     let engine_args = vec!["--start-after-ms".to_owned(), START_DELAY_MS.to_owned()];
-    let shape = Shape { entry: 1, engines: 1, apps: 0, engine_args, ..Shape::default() };
-    let fleet = TestFleet::start(shape).await?;
+    let spec = FleetSpec { entry: 1, engines: 1, apps: 0, engine_args, ..FleetSpec::default() };
+    let fleet = TestFleet::start(spec).await?;
     fleet.set_fault(0, Fault::None).await
 }
 
 #[compio::test]
 async fn engine_exit_during_startup_fails_fleet_start() -> anyhow::Result<()> {
     let engine_args = vec!["--no-such-argument".to_owned()];
-    let shape = Shape { entry: 1, engines: 1, apps: 0, engine_args, ..Shape::default() };
-    let Err(err) = TestFleet::start(shape).await else { anyhow::bail!("the fleet started") };
+    let spec = FleetSpec { entry: 1, engines: 1, apps: 0, engine_args, ..FleetSpec::default() };
+    let Err(err) = TestFleet::start(spec).await else { anyhow::bail!("the fleet started") };
     let text = format!("{err:#}");
     assert!(text.contains("engine-0") && text.contains("--no-such-argument"), "{text}");
     Ok(())
--- a/crates/e2e/tests/rests.rs
+++ b/crates/e2e/tests/rests.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use hatchpitch_e2e::fleet::MODEL;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use http::{HeaderMap, Method};
 use serde::Serialize;
 
@@ -123,7 +123,8 @@
 #[compio::test]
 async fn paused_service_gets_no_calls() -> anyhow::Result<()> {
     let fleet =
-        TestFleet::start(Shape { entry: 1, engines: 0, apps: 2, ..Shape::default() }).await?;
+        TestFleet::start(FleetSpec { entry: 1, engines: 0, apps: 2, ..FleetSpec::default() })
+            .await?;
     for (method, path) in [(Method::GET, "/rates"), (Method::POST, "/payoff")] {
         let send = || call(&fleet, method.clone(), path);
         let statuses = check_pause(&fleet, fleet.app_addrs[0], send).await?;
@@ -135,7 +136,8 @@
 #[compio::test]
 async fn calls_are_refused_immediately_while_all_services_pause() -> anyhow::Result<()> {
     let fleet =
-        TestFleet::start(Shape { entry: 1, engines: 0, apps: 1, ..Shape::default() }).await?;
+        TestFleet::start(FleetSpec { entry: 1, engines: 0, apps: 1, ..FleetSpec::default() })
+            .await?;
     configure(&fleet, fleet.app_addrs[0], "/admin/rest", Some(RETRY_AFTER)).await?;
     for (method, path) in [(Method::GET, "/rates"), (Method::POST, "/payoff")] {
         let started = Instant::now();
@@ -149,7 +151,8 @@
 #[compio::test]
 async fn paused_engine_gets_no_generations() -> anyhow::Result<()> {
     let fleet =
-        TestFleet::start(Shape { entry: 1, engines: 2, apps: 0, ..Shape::default() }).await?;
+        TestFleet::start(FleetSpec { entry: 1, engines: 2, apps: 0, ..FleetSpec::default() })
+            .await?;
     check_pause(&fleet, fleet.engine_addrs[0], || chat(&fleet)).await?;
     Ok(())
 }
@@ -157,7 +160,8 @@
 #[compio::test]
 async fn leaving_service_gets_no_calls() -> anyhow::Result<()> {
     let fleet =
-        TestFleet::start(Shape { entry: 1, engines: 0, apps: 2, ..Shape::default() }).await?;
+        TestFleet::start(FleetSpec { entry: 1, engines: 0, apps: 2, ..FleetSpec::default() })
+            .await?;
     let send = || call(&fleet, Method::GET, "/rates");
     let statuses = check_leaving(&fleet, fleet.app_addrs[0], send).await?;
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hatchpitch_e2e::fleet::{MODEL, WAIT_TIMEOUT};
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_standins::caller::Answer;
 use hatchpitch_standins::engine::server::{Fault, LedgerRow};
 
@@ -31,7 +31,8 @@
 
 /// Checks that an answer is complete despite a fault of the only engine.
 async fn check_complete_despite(fault: Fault, length: usize) -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
+    let fleet =
+        TestFleet::start(FleetSpec { entry: 1, engines: 1, ..FleetSpec::default() }).await?;
     fleet.set_fault(0, fault).await?;
     let prompt = format!("report len={length}");
     let answer = fleet.caller(0).chat(fleet.entry_addrs[0], MODEL, &prompt, |_| true).await?;
@@ -61,7 +62,7 @@
 
 #[compio::test]
 async fn engine_crash_before_first_token_is_retried_elsewhere() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { entry: 1, ..Shape::default() }).await?;
+    let fleet = TestFleet::start(FleetSpec { entry: 1, ..FleetSpec::default() }).await?;
     fleet.set_fault(0, Fault::Die { at: 0 }).await?;
     fleet.set_fault(1, Fault::None).await?;
     for i in 0..4 {
@@ -75,7 +76,8 @@
 
 #[compio::test]
 async fn engine_crash_after_a_token_ends_answer_with_typed_error() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
+    let fleet =
+        TestFleet::start(FleetSpec { entry: 1, engines: 1, ..FleetSpec::default() }).await?;
     fleet.set_fault(0, Fault::Die { at: 10 }).await?;
     let caller = fleet.caller(0);
     let answer = caller.chat(fleet.entry_addrs[0], MODEL, "report len=60", |_| true).await?;
@@ -90,7 +92,7 @@
 
 #[compio::test]
 async fn answer_resumes_at_another_box_after_box_crash() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
+    let mut fleet = TestFleet::start(FleetSpec { engines: 1, ..FleetSpec::default() }).await?;
     let caller = fleet.caller(0);
     let (first, second) = (fleet.entry_addrs[0], fleet.entry_addrs[1]);
     let broken = caller.chat(first, MODEL, "report len=200", |token| {
@@ -110,7 +112,8 @@
 
 #[compio::test]
 async fn response_is_not_readable_by_another_workspace() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { entry: 1, engines: 1, ..Shape::default() }).await?;
+    let fleet =
+        TestFleet::start(FleetSpec { entry: 1, engines: 1, ..FleetSpec::default() }).await?;
     let at = fleet.entry_addrs[0];
     let own = fleet.caller(0).chat(at, MODEL, "report len=50", |t| t.index < 5).await?;
     let mut stolen = own.clone();
@@ -127,11 +130,11 @@
 
 #[compio::test]
 async fn abandoned_generation_is_cancelled() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape {
+    let fleet = TestFleet::start(FleetSpec {
         entry: 1,
         engines: 1,
         timing: vec!["resume_window_ms = 200".into()],
-        ..Shape::default()
+        ..FleetSpec::default()
     })
     .await?;
     let caller = fleet.caller(0);
@@ -146,7 +149,7 @@
 
 #[compio::test]
 async fn leaving_upstream_gets_no_new_work_at_any_box() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape::default()).await?;
+    let fleet = TestFleet::start(FleetSpec::default()).await?;
     fleet
         .call_standin(fleet.engine_addrs[0], http::Method::POST, "/admin/leave", Default::default())
         .await?;
@@ -171,7 +174,7 @@
 
 #[compio::test]
 async fn rolling_restart_under_load_loses_no_answers() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(Shape::default()).await?;
+    let mut fleet = TestFleet::start(FleetSpec::default()).await?;
     for i in 0..3 {
         let mut tasks = Vec::new();
         for n in 0..6 {
@@ -198,7 +201,7 @@
 
 #[compio::test]
 async fn leaving_box_is_not_listed_to_callers() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape::default()).await?;
+    let fleet = TestFleet::start(FleetSpec::default()).await?;
     let caller = fleet.caller(0);
     let leaving = fleet.entry_addrs[0];
     fleet.entry[0].signal(libc::SIGTERM);
@@ -218,11 +221,11 @@
 
 #[compio::test]
 async fn queued_generation_is_not_considered_lost() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape {
+    let fleet = TestFleet::start(FleetSpec {
         entry: 1,
         engines: 1,
         engine_args: vec!["--max-batch".into(), "1".into()],
-        ..Shape::default()
+        ..FleetSpec::default()
     })
     .await?;
     let mut tasks = Vec::new();
@@ -242,7 +245,7 @@
 
 #[compio::test]
 async fn answer_of_suspended_box_resumes_at_another_box() -> anyhow::Result<()> {
-    let fleet = TestFleet::start(Shape { engines: 1, ..Shape::default() }).await?;
+    let fleet = TestFleet::start(FleetSpec { engines: 1, ..FleetSpec::default() }).await?;
     let caller = fleet.caller(0);
     let broken = caller.chat(fleet.entry_addrs[0], MODEL, "report len=200", |token| {
         if token.index == 30 {
@@ -268,7 +271,7 @@
 #[compio::test]
 async fn tokens_are_correct_under_scheduled_kills() -> anyhow::Result<()> {
     const REQUESTS: usize = 60;
-    let mut fleet = TestFleet::start(Shape { engines: 3, ..Shape::default() }).await?;
+    let mut fleet = TestFleet::start(FleetSpec { engines: 3, ..FleetSpec::default() }).await?;
     let mut tasks = Vec::new();
     for i in 0..REQUESTS {
         let (caller, entries) = (fleet.caller(i % 3), fleet.entry_addrs.clone());
@@ -334,12 +337,12 @@
 #[compio::test]
 async fn generations_of_non_reading_callers_are_cancelled() -> anyhow::Result<()> {
     use std::io::{Read as _, Write as _};
-    let fleet = TestFleet::start(Shape {
+    let fleet = TestFleet::start(FleetSpec {
         entry: 1,
         engines: 1,
         engine_args: vec!["--step-us".into(), "200".into(), "--memory".into(), "500000".into()],
         timing: vec!["slow_caller_ms = 500".into(), "resume_window_ms = 100".into()],
-        ..Shape::default()
+        ..FleetSpec::default()
     })
     .await?;
     // Each caller reads the first bytes of the response and then stops, so that buffers fill up.
@@ -382,7 +385,7 @@
 
 #[compio::test]
 async fn reclaimed_engine_loses_only_unfinished_answers() -> anyhow::Result<()> {
-    let mut fleet = TestFleet::start(Shape { entry: 2, ..Shape::default() }).await?;
+    let mut fleet = TestFleet::start(FleetSpec { entry: 2, ..FleetSpec::default() }).await?;
     let mut tasks = Vec::new();
     for i in 0..12 {
         let (caller, at) = (fleet.caller(i % 3), fleet.entry_addrs[i % 2]);
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -242,7 +242,7 @@
     /// Lets the disk of a box take no more bytes, or take them again.
     pub fn fill_disk(&self, place: usize, full: bool) {
         self.each(place, &[Role::Control], |managed| {
-            if let Err(err) = managed.process.bound_files(full.then_some(0)) {
+            if let Err(err) = managed.process.limit_file_size(full.then_some(0)) {
                 log::warn!("{}: {err}", managed.process.name);
             }
         });
