--- a/crates/standins/src/app.rs
+++ b/crates/standins/src/app.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an application service: a rate table and payoff quotes.
+//! Stand-in for an application service that serves a rate table and payoff quotes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,49 +14,51 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::heads::HeadOrders;
+use crate::signals::SignalControls;
 
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: usize = 1024 * 1024;
-const BODY_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A fault that the stand-in plays on the next calls, for tests.
+/// Fault that a test injects into the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum AppFault {
-    /// None.
+    /// No fault.
     None,
-    /// The next call is run, and its reply never comes.
+    /// The next quote is run, but no response is sent.
     LoseReply,
-    /// The next call takes this long.
+    /// The next quote is delayed.
     Slow {
-        /// Milliseconds.
+        /// Delay in milliseconds.
         ms: u64,
     },
-    /// The process ends after it ran the next call.
+    /// The process exits on the next call; a quote is counted as run before the exit.
     Die,
 }
 
-/// A running service.
+/// State of the application service.
 pub struct AppServer {
-    /// How often each quote was run, by idempotency key.
+    /// Number of times each quote was run, by idempotency key.
     runs: RefCell<BTreeMap<String, u64>>,
     fault: Cell<AppFault>,
 }
 
 impl AppServer {
-    /// Creates a service that has run nothing.
+    /// Creates a service without faults or recorded runs.
     pub fn new() -> Rc<Self> {
         Rc::new(Self { runs: RefCell::default(), fault: Cell::new(AppFault::None) })
     }
 
-    /// Serves until `stop`.
+    /// Serves requests until `stop` is set.
     pub async fn run(self: Rc<Self>, listener: TcpListener, stop: Stop) {
         let app = self.clone();
         let handler: Handler = Rc::new(move |req, _peer| {
             let app = app.clone();
             async move { app.handle(req).await }.boxed_local()
         });
-        let handler = HeadOrders::around(handler);
+        let handler = SignalControls::wrap(handler);
         serve(listener, ServerLimits::default(), handler, stop).await;
     }
 
@@ -80,10 +82,11 @@
         }
     }
 
+    /// Runs a quote and applies the injected fault.
     async fn quote(&self, req: Request<Incoming>) -> Response<Body> {
         let key = req.headers().get("idempotency-key").and_then(|v| v.to_str().ok());
         let key = key.unwrap_or("").to_owned();
-        let Ok(body) = read_body(req.into_body(), MAX_BODY, BODY_LIMIT).await else {
+        let Ok(body) = read_body(req.into_body(), MAX_BODY, BODY_TIMEOUT).await else {
             return text_response(StatusCode::BAD_REQUEST, "body not read");
         };
         let fault = self.fault.replace(AppFault::None);
@@ -106,7 +109,7 @@
     }
 
     async fn set_fault(&self, req: Request<Incoming>) -> Response<Body> {
-        let Ok(body) = read_body(req.into_body(), MAX_BODY, BODY_LIMIT).await else {
+        let Ok(body) = read_body(req.into_body(), MAX_BODY, BODY_TIMEOUT).await else {
             return text_response(StatusCode::BAD_REQUEST, "body not read");
         };
         match serde_json::from_slice(&body) {
--- a/crates/standins/src/bin/app.rs
+++ b/crates/standins/src/bin/app.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in for an application service.
+//! Runs the stand-in application service.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 use hatchpitch_net::{bind, stop_pair};
 use hatchpitch_standins::app::AppServer;
 
-/// A stand-in for an application service, on loopback only.
+/// Stand-in application service on a loopback address.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Address to listen at.
+    /// Loopback address to listen on.
     #[arg(long)]
     listen: SocketAddr,
 }
--- a/crates/standins/src/bin/caller.rs
+++ b/crates/standins/src/bin/caller.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in for a caller: finds a box and prints one streamed answer.
+//! Runs the stand-in caller, which discovers an entry box and prints one streamed answer.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -7,19 +7,19 @@
 use clap::Parser;
 use hatchpitch_standins::caller::Caller;
 
-/// Asks for addresses, connects to the first and prints a streamed answer.
+/// Discovers entry boxes, sends the prompt to the first one and prints the streamed answer.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Any box.
+    /// Address of any entry box, used for discovery.
     #[arg(long)]
     ask: SocketAddr,
-    /// Workspace key.
+    /// API key of the workspace.
     #[arg(long, env = "HATCHPITCH_KEY", hide_env_values = true)]
     key: String,
-    /// Model.
+    /// Name of the model.
     #[arg(long)]
     model: String,
-    /// Prompt.
+    /// Prompt text.
     prompt: String,
 }
 
@@ -27,8 +27,8 @@
 async fn main() -> anyhow::Result<()> {
     let args = Args::parse();
     let caller = Caller { key: args.key };
-    let found = caller.endpoints(args.ask).await?;
-    let at = found.endpoints.first().context("the box names no address")?.addr;
+    let discovered = caller.endpoints(args.ask).await?;
+    let at = discovered.endpoints.first().context("the entry box returned no endpoints")?.addr;
     eprintln!("using {at}");
     let answer = caller.chat(at, &args.model, &args.prompt, |token| {
         print!("{}", token.text);
@@ -39,7 +39,7 @@
     if let Some(error) = answer.error {
         anyhow::bail!("{}: {}", error.error.kind, error.error.message);
     }
-    anyhow::ensure!(answer.complete, "the answer broke off");
+    anyhow::ensure!(answer.complete, "the stream ended before the answer was complete");
     eprintln!("{} tokens, trace {}", answer.tokens.len(), answer.trace);
     Ok(())
 }
--- a/crates/standins/src/bin/engine.rs
+++ b/crates/standins/src/bin/engine.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in for a model engine.
+//! Runs the stand-in model engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,31 +8,31 @@
 use hatchpitch_standins::engine::EngineConfig;
 use hatchpitch_standins::engine::server::EngineServer;
 
-/// A stand-in for a model engine, on loopback only.
+/// Stand-in model engine on a loopback address.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Address to listen at.
+    /// Loopback address to listen on.
     #[arg(long)]
     listen: SocketAddr,
-    /// The model it holds.
+    /// Name of the loaded model.
     #[arg(long)]
     model: String,
-    /// Memory, in tokens.
+    /// Memory limit, in tokens.
     #[arg(long, default_value_t = 20_000)]
     memory: u64,
-    /// Generations in the batch at most.
+    /// Maximum number of generations in a batch.
     #[arg(long, default_value_t = 16)]
     max_batch: usize,
-    /// Time of a step with an empty batch, in microseconds.
+    /// Base duration of a step, in microseconds.
     #[arg(long, default_value_t = 8_000)]
     step_us: u64,
-    /// Lag of load reports, in milliseconds.
+    /// Delay of load reports, in milliseconds.
     #[arg(long, default_value_t = 500)]
     report_lag_ms: u64,
-    /// Accepts orders of any term.
+    /// Accept commands of any term, including outdated ones.
     #[arg(long)]
     no_fence: bool,
-    /// Time for which it does not listen yet, in milliseconds: a machine that starts late.
+    /// Delay before listening, in milliseconds; simulates a slow start.
     #[arg(long, default_value_t = 0)]
     start_after_ms: u64,
 }
--- a/crates/standins/src/caller.rs
+++ b/crates/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a caller: asks for addresses, connects itself, reads answers.
+//! Stand-in for a caller that discovers entry boxes, sends requests and reads streamed answers.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,57 +14,60 @@
 use hyper::body::Incoming;
 use serde::Deserialize;
 
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for the response head, and for reading a whole body.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum size of a response body that is read whole, in bytes.
 const MAX_BODY: usize = 8 * 1024 * 1024;
-/// Silence after which a caller gives a link up; boxes send heartbeats far more often.
-const SILENCE: Duration = Duration::from_secs(3);
+/// Time without data after which a stream is abandoned; boxes send heartbeats far more often.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A caller with a workspace key.
+/// Caller that authenticates with a workspace key.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The key.
+    /// Workspace key, sent as a bearer token.
     pub key: String,
 }
 
-/// One token as it reached the caller.
+/// Token received by the caller.
 #[derive(Debug, Clone)]
 pub struct ReceivedToken {
-    /// Index, from the event id.
+    /// Index of the token, taken from the event id.
     pub index: u64,
-    /// Text.
+    /// Text of the token.
     pub text: String,
-    /// When it came.
+    /// Time of receipt.
     pub at: Instant,
 }
 
-/// A streamed answer as far as it came.
+/// Streamed answer as far as it was received.
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status of the latest response.
     pub status: u16,
-    /// Token to resume with.
+    /// Response token for resuming the answer.
     pub response: String,
-    /// Trace of the request.
+    /// Trace id of the request.
     pub trace: String,
-    /// Tokens in the order in which they came.
+    /// Tokens in order of receipt.
     pub tokens: Vec<ReceivedToken>,
-    /// Whether the end of the answer was seen.
+    /// Whether the final `[DONE]` event was received.
     pub complete: bool,
-    /// The final error, if there was one.
+    /// Error that ended the answer.
     pub error: Option<ProblemBody>,
-    /// Seconds after which to come back, if the answer said so.
+    /// Value of `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
 }
 
 impl Answer {
-    /// Returns the text so far.
+    /// Returns the concatenated text of the received tokens.
     pub fn text(&self) -> String {
         self.tokens.iter().map(|t| t.text.as_str()).collect()
     }
 }
 
-/// What the caller receives of one event.
+/// Fields that the caller reads from one event.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     choices: Vec<Choice>,
@@ -82,22 +85,23 @@
 }
 
 impl Caller {
-    /// Asks a box which addresses to use.
+    /// Gets the entry boxes' addresses from any box.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the address asked.
+    /// Returns an error if the call fails, its status is not a success or the body does not decode.
     pub async fn endpoints(&self, at: SocketAddr) -> anyhow::Result<Endpoints> {
         let res = self.send(at, Method::GET, "/v1/endpoints", HeaderMap::new(), Bytes::new());
-        let body = whole(res.await?).await?;
+        let body = read_success_body(res.await?).await?;
         serde_json::from_slice(&body).with_context(|| format!("endpoints from {at}"))
     }
 
-    /// Streams a chat completion; `on_token` sees each token and may stop the reading.
+    /// Streams a chat completion. `on_token` is called for each token and stops the reading by
+    /// returning `false`.
     ///
     /// # Errors
     ///
-    /// Returns an error if no answer began. A stream that breaks is not an error.
+    /// Returns an error if no response arrives. A broken stream is not an error.
     pub async fn chat(
         &self,
         at: SocketAddr,
@@ -116,11 +120,11 @@
         read_answer(res, Answer::default(), on_token).await
     }
 
-    /// Reads on where `answer` broke off, at any box.
+    /// Resumes a broken `answer` at any box after its last received token.
     ///
     /// # Errors
     ///
-    /// Returns an error if no answer began.
+    /// Returns an error if no response arrives.
     pub async fn resume(
         &self,
         at: SocketAddr,
@@ -136,11 +140,11 @@
         read_answer(res, answer, on_token).await
     }
 
-    /// Sends any request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     ///
     /// # Errors
     ///
-    /// Returns an error if no whole answer came.
+    /// Returns an error if the response is not received completely.
     pub async fn call(
         &self,
         at: SocketAddr,
@@ -173,7 +177,8 @@
     }
 }
 
-async fn whole(res: Response<Incoming>) -> anyhow::Result<Bytes> {
+/// Reads a whole response body; returns an error if the status is not a success.
+async fn read_success_body(res: Response<Incoming>) -> anyhow::Result<Bytes> {
     let status = res.status();
     let body = read_body(res.into_body(), MAX_BODY, HEAD_TIMEOUT).await?;
     if !status.is_success() {
@@ -182,6 +187,7 @@
     Ok(body)
 }
 
+/// Reads a streamed response into `answer` until it ends or `on_token` returns `false`.
 async fn read_answer(
     res: Response<Incoming>,
     mut answer: Answer,
@@ -196,11 +202,11 @@
         answer.error = serde_json::from_slice(&body).ok();
         return Ok(answer);
     }
-    let token = header_text(res.headers(), "x-hatchpitch-response");
-    if !token.is_empty() {
-        answer.response = token;
+    let response = header_text(res.headers(), "x-hatchpitch-response");
+    if !response.is_empty() {
+        answer.response = response;
     }
-    let events = pieces(res.into_body()).eventsource();
+    let events = body_chunks(res.into_body()).eventsource();
     let mut events = std::pin::pin!(events);
     while let Some(Ok(event)) = events.next().await {
         if event.event == "error" {
@@ -212,9 +218,9 @@
             return Ok(answer);
         }
         if let Some(token) = parse_token(&event.id, &event.data) {
-            let go_on = on_token(&token);
+            let keep_reading = on_token(&token);
             answer.tokens.push(token);
-            if !go_on {
+            if !keep_reading {
                 return Ok(answer);
             }
         }
@@ -222,15 +228,19 @@
     Ok(answer)
 }
 
-/// Reads pieces until the end or a silence. Heartbeats are comments, which only count here:
-/// the parser of events does not show them.
-fn pieces(body: Incoming) -> impl Stream<Item = Result<Bytes, BodyError>> {
+/// Returns the chunks of a body until it ends or no data arrives for [`STREAM_IDLE_TIMEOUT`].
+///
+/// The timeout applies to raw chunks because heartbeats are comments, which the event parser does
+/// not report.
+fn body_chunks(body: Incoming) -> impl Stream<Item = Result<Bytes, BodyError>> {
     futures_util::stream::unfold(body, |mut body| async move {
-        let piece = compio::time::timeout(SILENCE, read_stream(&mut body)).await.ok()?;
-        Some((piece.transpose()?, body))
+        let chunk =
+            compio::time::timeout(STREAM_IDLE_TIMEOUT, read_stream(&mut body)).await.ok()?;
+        Some((chunk.transpose()?, body))
     })
 }
 
+/// Parses a token event; returns `None` for other events.
 fn parse_token(id: &str, data: &str) -> Option<ReceivedToken> {
     let chunk: Chunk = serde_json::from_str(data).ok()?;
     let choice = chunk.choices.into_iter().next()?;
@@ -238,6 +248,7 @@
     Some(ReceivedToken { index: id.parse().ok()?, text, at: Instant::now() })
 }
 
+/// Returns the value of a header, or an empty string if it is missing or not text.
 fn header_text(headers: &HeaderMap, name: &str) -> String {
     headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_owned()
 }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a model engine: continuous batching in bounded memory.
+//! Stand-in for a model engine with continuous batching and bounded memory.
 
 pub mod model;
 pub mod server;
--- a/crates/standins/src/engine/model.rs
+++ b/crates/standins/src/engine/model.rs
@@ -1,9 +1,8 @@
-//! The engine's behaviour without I/O: a step at a time.
+//! Step-based model of an engine without I/O.
 //!
-//! One step emits one token for every generation of the batch and takes longer
-//! the larger the batch is. Memory is counted in tokens; when it runs out, the
-//! generation of the lowest priority that was admitted last is pushed aside
-//! and computed again later.
+//! Each step produces one token for every generation in the batch and takes longer for larger
+//! batches. Memory is measured in tokens. When it is exhausted, the most recently admitted
+//! generation of the lowest priority is preempted and recomputed later.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,39 +11,39 @@
 use hatchpitch::engine::{EngineLoad, FinishReason, GenerateRequest};
 use sha2::{Digest, Sha256};
 
-/// Tokens of prompt that share one block of the prefix cache.
+/// Characters of a prompt in one block of the prefix cache.
 const BLOCK_CHARS: usize = 64;
-/// Characters that count as one token of a prompt.
+/// Characters per prompt token.
 const CHARS_PER_TOKEN: u64 = 4;
-/// Cache events kept for readers that are behind.
-const KEPT_EVENTS: usize = 1_024;
+/// Number of cache events retained for lagging readers.
+const MAX_CACHE_EVENTS: usize = 1_024;
 
-/// What an engine can do.
+/// Capacity and timing of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Memory, in tokens.
+    /// Memory limit, in tokens.
     pub memory_limit: u64,
-    /// Generations in the batch at most.
+    /// Maximum number of generations in the batch.
     pub max_batch: usize,
-    /// Generations that may wait.
+    /// Maximum number of waiting generations.
     pub max_waiting: usize,
-    /// Time of a step with an empty batch.
+    /// Base duration of a step.
     pub step_base: Duration,
-    /// Time that each generation of the batch adds.
+    /// Additional step duration per generation in the batch.
     pub step_each: Duration,
-    /// Time to compute one token of prompt that is not cached.
+    /// Additional step duration per prompt token that is not cached.
     pub prefill_each: Duration,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Whether orders of an old term are rejected.
+    /// Whether commands with an outdated fence are rejected.
     pub checks_fence: bool,
-    /// Each so manieth cache event is lost; 0 for none.
+    /// Drops every n-th cache event; 0 drops none.
     pub lose_event_every: u64,
-    /// Steps after which a cache event is published.
+    /// Number of steps before a cache event is published.
     pub event_delay: u64,
-    /// Time a generation without a reader is kept running.
+    /// Time after which an unfinished generation without a reader is cancelled.
     pub orphan_limit: Duration,
-    /// Time a finished generation is kept.
+    /// Time for which a finished generation is retained.
     pub keep_finished: Duration,
 }
 
@@ -67,99 +66,105 @@
     }
 }
 
-/// Where a generation stands.
+/// State of a generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GenerationStatus {
-    /// It waits for its first step, or to be computed again.
+    /// Waiting for its first step or, after a preemption, for recomputation.
     Waiting,
-    /// It is in the batch.
+    /// In the batch.
     Running,
-    /// It is complete.
+    /// Complete, with the reason why it finished.
     Done(FinishReason),
-    /// It was cancelled.
+    /// Cancelled by a reader, or after it had no reader for too long.
     Cancelled,
 }
 
-/// One generation.
+/// Generation known to the engine.
 #[derive(Debug, Clone)]
 pub struct Generation {
-    /// The request.
+    /// Request that started it.
     pub req: GenerateRequest,
-    /// Its tokens so far.
+    /// Tokens produced so far.
     pub tokens: Vec<String>,
-    /// Where it stands.
+    /// Current state.
     pub status: GenerationStatus,
-    /// The reading that receives its tokens.
+    /// Attempt that receives its tokens.
     pub reader: Option<String>,
-    /// How often it was pushed aside.
+    /// Number of preemptions.
     pub preemptions: u64,
-    /// Tokens it will have; nobody outside knows.
+    /// Number of tokens at which it ends; not disclosed to clients.
     length: u64,
+    /// Sequence number of its submission.
     arrived: u64,
+    /// Sequence number of its latest admission to the batch.
     admitted: u64,
-    /// Time since its last reader left or since it ended.
+    /// Time since its last reader detached or since it finished.
     idle: Duration,
 }
 
 impl Generation {
+    /// Returns the length of the prompt, in tokens.
     fn prompt_tokens(&self) -> u64 {
         self.req.prompt.chars().count() as u64 / CHARS_PER_TOKEN + 1
     }
 
+    /// Returns the memory in use, in tokens.
     fn memory(&self) -> u64 {
         self.prompt_tokens() + self.tokens.len() as u64
     }
 }
 
-/// An event of the prefix cache.
+/// Change of the prefix cache.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; a missing number is a lost event.
+    /// Sequence number; a gap indicates a lost event.
     pub sequence: u64,
     /// Digest of the block's prefix.
     pub block: String,
-    /// Whether it was stored or dropped.
+    /// Whether the block was stored (`true`) or evicted (`false`).
     pub stored: bool,
-    /// Step in which it happened.
+    /// Step in which the change happened.
     pub step: u64,
 }
 
-/// Why an engine took no request.
+/// Reason why an engine refused a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refused {
-    /// It leaves.
+    /// The engine is leaving and accepts no new work.
     Leaving,
-    /// Too many wait.
+    /// The waiting queue is full.
     Full,
-    /// The request can never fit into memory.
+    /// The prompt does not fit into the memory limit.
     TooLarge,
-    /// The id is in use.
+    /// The generation id is already in use.
     Duplicate,
-    /// It does not hold the model.
+    /// The engine has another model loaded.
     WrongModel,
 }
 
-/// The state of an engine.
+/// State of an engine.
 #[derive(Debug)]
 pub struct EngineModel {
-    /// What it can do.
+    /// Capacity and timing.
     pub cfg: EngineConfig,
-    /// All generations that it still knows.
+    /// Generations that are active or retained, by id.
     pub generations: BTreeMap<String, Generation>,
-    /// Whether it wants no new work.
+    /// Whether the engine accepts no new work.
     pub leaving: bool,
     incarnation: u64,
     holdings: EngineHoldings,
+    /// Source of the `arrived` and `admitted` numbers.
     counter: u64,
     preemptions: u64,
+    /// Digests of the cached blocks, least recently used first.
     cache: VecDeque<String>,
     events: VecDeque<CacheEvent>,
-    next_event: u64,
+    last_event: u64,
     steps: u64,
 }
 
 impl EngineModel {
-    /// Creates an idle engine that holds `model`.
+    /// Creates an idle engine with `model` loaded.
     pub fn new(cfg: EngineConfig, model: &str, incarnation: u64) -> Self {
         let holdings = EngineHoldings {
             incarnation,
@@ -180,16 +185,16 @@
             preemptions: 0,
             cache: VecDeque::new(),
             events: VecDeque::new(),
-            next_event: 0,
+            last_event: 0,
             steps: 0,
         }
     }
 
-    /// Takes a request in.
+    /// Queues a request.
     ///
     /// # Errors
     ///
-    /// Returns why it is refused; nothing of it was run then.
+    /// Returns the reason if the request is refused, in which case nothing was run.
     pub fn submit(&mut self, req: GenerateRequest) -> Result<(), Refused> {
         if self.leaving {
             return Err(Refused::Leaving);
@@ -222,7 +227,7 @@
         Ok(())
     }
 
-    /// Makes `attempt` the reader of a generation; returns whether it is known.
+    /// Makes `attempt` the reader of a generation; returns `false` if it is unknown or cancelled.
     pub fn attach(&mut self, id: &str, attempt: &str) -> bool {
         let Some(generation) = self.generations.get_mut(id) else { return false };
         if generation.status == GenerationStatus::Cancelled {
@@ -235,7 +240,7 @@
         true
     }
 
-    /// Notes that a reader left.
+    /// Removes `attempt` as the reader of a generation if it is the current one.
     pub fn detach(&mut self, id: &str, attempt: &str) {
         if let Some(generation) = self.generations.get_mut(id)
             && generation.reader.as_deref() == Some(attempt)
@@ -244,7 +249,8 @@
         }
     }
 
-    /// Cancels a generation unless another reading than `attempt` holds it.
+    /// Cancels a generation unless an attempt other than `attempt` is its reader; returns whether it
+    /// is cancelled or had already finished.
     pub fn cancel(&mut self, id: &str, attempt: &str) -> bool {
         let Some(generation) = self.generations.get_mut(id) else { return false };
         if generation.reader.as_deref().is_some_and(|reader| reader != attempt) {
@@ -256,23 +262,23 @@
         true
     }
 
-    /// Runs one step; returns how long it took, or `None` if there was nothing to do.
+    /// Runs one step; returns its simulated duration, or `None` if the batch is empty.
     pub fn step(&mut self) -> Option<Duration> {
         self.steps += 1;
         let prefill = self.fill_batch();
-        let running = self.running();
+        let running = self.running_ids();
         if running.is_empty() {
             return None;
         }
-        self.make_room(&running);
-        let running = self.running();
+        self.preempt_for_memory(&running);
+        let running = self.running_ids();
         for id in &running {
             let Some(generation) = self.generations.get_mut(id) else { continue };
             let index = generation.tokens.len() as u64;
             generation.tokens.push(token_text(&generation.req, index));
             if generation.tokens.len() as u64 >= generation.length {
-                let bounded = generation.length >= generation.req.max_tokens;
-                let reason = if bounded { FinishReason::Length } else { FinishReason::Stop };
+                let truncated = generation.length >= generation.req.max_tokens;
+                let reason = if truncated { FinishReason::Length } else { FinishReason::Stop };
                 generation.status = GenerationStatus::Done(reason);
                 generation.idle = Duration::ZERO;
             }
@@ -281,7 +287,8 @@
         Some(self.cfg.step_base + self.cfg.step_each * batch + prefill)
     }
 
-    /// Lets time pass for generations that nobody reads.
+    /// Advances the idle time of generations that are finished or have no reader, cancels those idle
+    /// for too long and drops finished ones after their retention time.
     pub fn age(&mut self, by: Duration) {
         let (orphan, keep) = (self.cfg.orphan_limit, self.cfg.keep_finished);
         for generation in self.generations.values_mut() {
@@ -304,7 +311,7 @@
         });
     }
 
-    /// Returns the load at this moment.
+    /// Returns the current load.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             incarnation: self.incarnation,
@@ -317,7 +324,7 @@
         }
     }
 
-    /// Returns the published cache events after `sequence`.
+    /// Returns the published cache events with a number above `sequence`.
     pub fn events_after(&self, sequence: u64) -> Vec<CacheEvent> {
         let published = |event: &&CacheEvent| {
             event.sequence > sequence && event.step + self.cfg.event_delay <= self.steps
@@ -325,11 +332,13 @@
         self.events.iter().filter(published).cloned().collect()
     }
 
-    /// Carries an order out.
+    /// Executes a command. A command that repeats the newest fence succeeds without effect if the
+    /// engine checks fences.
     ///
     /// # Errors
     ///
-    /// Returns the newest fence seen if this engine checks it and the order's is not newer.
+    /// Returns the newest fence, as term and sequence, if the engine checks fences and the command's
+    /// is older.
     pub fn command(&mut self, command: &EngineCommand) -> Result<(), (u64, u64)> {
         let newest = (self.holdings.term, self.holdings.sequence);
         let fence = (command.term, command.sequence);
@@ -352,11 +361,12 @@
         Ok(())
     }
 
-    /// Returns what the engine holds.
+    /// Returns the loaded model, its adapters and the role, with the newest fence.
     pub fn holdings(&self) -> &EngineHoldings {
         &self.holdings
     }
 
+    /// Returns the memory used by running generations, in tokens.
     fn memory_used(&self) -> u64 {
         let running = self.generations.values();
         let running = running.filter(|g| g.status == GenerationStatus::Running);
@@ -367,24 +377,26 @@
         self.generations.values().filter(|g| g.status == status).count()
     }
 
-    fn running(&self) -> Vec<String> {
+    /// Returns the ids of the running generations.
+    fn running_ids(&self) -> Vec<String> {
         let running = self.generations.values();
         let running = running.filter(|g| g.status == GenerationStatus::Running);
         running.map(|g| g.req.generation.clone()).collect()
     }
 
-    /// Admits waiting generations, the highest priority first; returns the time of their prompts.
+    /// Admits waiting generations by priority and arrival while they fit into memory; returns the
+    /// time to compute their prompts.
     fn fill_batch(&mut self) -> Duration {
         let mut prefill = Duration::ZERO;
         while self.count(GenerationStatus::Running) < self.cfg.max_batch {
-            let room = self.cfg.memory_limit.saturating_sub(self.memory_used());
+            let available = self.cfg.memory_limit.saturating_sub(self.memory_used());
             let waiting = self.generations.values();
             let waiting = waiting.filter(|g| g.status == GenerationStatus::Waiting);
             let next = waiting.min_by_key(|g| (std::cmp::Reverse(g.req.priority), g.arrived));
-            let Some(next) = next.filter(|g| g.memory() < room) else { break };
+            let Some(next) = next.filter(|g| g.memory() < available) else { break };
             let id = next.req.generation.clone();
             let (prompt, recompute) = (next.req.prompt.clone(), next.tokens.len() as u64);
-            let cold = self.cold_tokens(&prompt) + recompute;
+            let cold = self.cache_prompt(&prompt) + recompute;
             prefill += self.cfg.prefill_each * u32::try_from(cold).unwrap_or(u32::MAX);
             self.counter += 1;
             let admitted = self.counter;
@@ -396,8 +408,8 @@
         prefill
     }
 
-    /// Pushes generations aside until one more token for each of the others fits.
-    fn make_room(&mut self, running: &[String]) {
+    /// Preempts generations until one more token of each remaining one fits into memory.
+    fn preempt_for_memory(&mut self, running: &[String]) {
         let mut batch = running.len() as u64;
         while self.memory_used() + batch > self.cfg.memory_limit && batch > 1 {
             let candidates = self.generations.values_mut();
@@ -411,8 +423,8 @@
         }
     }
 
-    /// Counts the prompt's tokens that are not cached, and caches them.
-    fn cold_tokens(&mut self, prompt: &str) -> u64 {
+    /// Returns the number of prompt tokens that are not cached, and adds the prompt to the cache.
+    fn cache_prompt(&mut self, prompt: &str) -> u64 {
         let chars: Vec<char> = prompt.chars().collect();
         let mut cold = 0;
         for end in (BLOCK_CHARS..=chars.len()).step_by(BLOCK_CHARS) {
@@ -422,33 +434,35 @@
                 self.cache.remove(at);
             } else {
                 cold += BLOCK_CHARS as u64 / CHARS_PER_TOKEN;
-                self.emit(block.clone(), true);
+                self.record_event(block.clone(), true);
             }
             self.cache.push_back(block);
             if self.cache.len() > self.cfg.cache_blocks
                 && let Some(old) = self.cache.pop_front()
             {
-                self.emit(old, false);
+                self.record_event(old, false);
             }
         }
         cold + (chars.len() % BLOCK_CHARS) as u64 / CHARS_PER_TOKEN
     }
 
-    fn emit(&mut self, block: String, stored: bool) {
-        self.next_event += 1;
-        let sequence = self.next_event;
+    /// Records a cache event unless it is one to be lost.
+    fn record_event(&mut self, block: String, stored: bool) {
+        self.last_event += 1;
+        let sequence = self.last_event;
         let lost = self.cfg.lose_event_every;
         if lost > 0 && sequence.is_multiple_of(lost) {
             return;
         }
         self.events.push_back(CacheEvent { sequence, block, stored, step: self.steps });
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_CACHE_EVENTS {
             self.events.pop_front();
         }
     }
 }
 
-/// The text of a token: equal for equal requests with a seed, else peculiar to the generation.
+/// Returns the text of a token, which is determined by seed and prompt, or by the generation id if
+/// the request has no seed.
 pub fn token_text(req: &GenerateRequest, index: u64) -> String {
     let root = match req.seed {
         Some(seed) => format!("{seed}/{}", req.prompt),
@@ -458,19 +472,21 @@
     format!(" {}", hex(&digest[..3]))
 }
 
-/// Draws the length of an output: `len=N` in the prompt sets it, else it is heavy-tailed.
+/// Returns the number of tokens of an output: N if the prompt contains `len=N`, otherwise a
+/// heavy-tailed value derived from prompt and seed. Both are limited to `max_tokens`.
 fn output_length(req: &GenerateRequest) -> u64 {
-    let asked = req.prompt.split_whitespace().find_map(|word| word.strip_prefix("len="));
-    if let Some(length) = asked.and_then(|text| text.parse::<u64>().ok()) {
+    let requested = req.prompt.split_whitespace().find_map(|word| word.strip_prefix("len="));
+    if let Some(length) = requested.and_then(|text| text.parse::<u64>().ok()) {
         return length.clamp(1, req.max_tokens);
     }
     let digest = Sha256::digest(format!("length/{}/{:?}", req.prompt, req.seed).as_bytes());
     let uniform = f64::from(u16::from_be_bytes([digest[0], digest[1]])) / 65_536.0;
-    // Pareto with shape 1.2 from 8 tokens on: many short outputs, a few very long ones.
+    // Pareto distribution with shape 1.2 and minimum 8: many short outputs and a few very long ones.
     let length = 8.0 / (1.0 - uniform).powf(1.0 / 1.2);
     (length as u64).clamp(1, req.max_tokens)
 }
 
+/// Encodes bytes as lower-case hexadecimal digits.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's protocol over HTTP; see `docs/ENGINE-PROTOCOL.md`.
+//! HTTP server for the engine protocol described in `docs/ENGINE-PROTOCOL.md`.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,78 +20,81 @@
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
 
-use crate::heads::HeadOrders;
+use crate::signals::SignalControls;
 
 use super::model::{EngineConfig, EngineModel, GenerationStatus, Refused};
 
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
-const BODY_LIMIT: Duration = Duration::from_secs(5);
-/// Time between heartbeats on a stream without tokens.
-const HEARTBEAT: Duration = Duration::from_millis(300);
-/// Rest of the batch loop while nothing is to do.
-const IDLE_REST: Duration = Duration::from_millis(2);
-
-/// A fault that the stand-in plays on its streams, for tests.
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between heartbeats on a stream without tokens.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// Pause of the batch loop while the batch is empty.
+const IDLE_PAUSE: Duration = Duration::from_millis(2);
+
+/// Fault that a test injects into the engine's streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// None.
+    /// No fault.
     None,
-    /// The next streams send nothing after token `after`, without closing.
+    /// The next streams stall before token `after` without closing.
     Stall {
-        /// Token after which nothing comes.
+        /// Index of the first token that is not sent.
         after: u64,
-        /// Links that are concerned.
+        /// Number of streams affected.
         links: u32,
     },
-    /// The next links break after token `after`.
+    /// The next streams break before token `after`.
     Break {
-        /// Token after which the link breaks.
+        /// Index of the first token that is not sent.
         after: u64,
-        /// Links that are concerned.
+        /// Number of streams affected.
         links: u32,
     },
     /// Every token is sent twice.
     Duplicate,
-    /// A token of an attempt that does not exist comes before each token.
+    /// Each token is preceded by a token of a nonexistent attempt.
     Crossed,
-    /// Tokens `at` and `at + 1` change places on the next link.
+    /// On the next stream, token `at + 1` is sent before token `at`.
     Reorder {
-        /// The first of the two.
+        /// Index of the first of the two tokens.
         at: u64,
     },
-    /// The process ends at once when a generation reaches this token.
+    /// The process exits instead of sending this or a later token.
     Die {
-        /// The token.
+        /// Index of the token.
         at: u64,
     },
 }
 
-/// A running engine.
+/// State of the engine server.
 pub struct EngineServer {
     model: RefCell<EngineModel>,
     fault: Cell<Fault>,
-    waiting: RefCell<Vec<oneshot::Sender<()>>>,
-    /// Load report, renewed with a lag.
+    /// Senders that wake waiting stream readers when dropped.
+    wakers: RefCell<Vec<oneshot::Sender<()>>>,
+    /// Latest load report, which lags behind the model by `report_lag`.
     report: RefCell<EngineLoad>,
     report_lag: Duration,
 }
 
 impl EngineServer {
-    /// Creates an engine that reports its load with a lag.
+    /// Creates an engine whose load reports are delayed by `report_lag`.
     pub fn new(cfg: EngineConfig, model: &str, report_lag: Duration) -> Rc<Self> {
         let model = EngineModel::new(cfg, model, unix_ms());
         let report = RefCell::new(model.load());
         Rc::new(Self {
             model: RefCell::new(model),
             fault: Cell::new(Fault::None),
-            waiting: RefCell::default(),
+            wakers: RefCell::default(),
             report,
             report_lag,
         })
     }
 
-    /// Serves until `stop`.
+    /// Serves requests until `stop` is set.
     pub async fn run(self: Rc<Self>, listener: TcpListener, stop: Stop) {
         compio::runtime::spawn(self.clone().batch_loop(stop.clone())).detach();
         compio::runtime::spawn(self.clone().report_loop(stop.clone())).detach();
@@ -100,23 +103,25 @@
             let engine = engine.clone();
             async move { engine.handle(req).await }.boxed_local()
         });
-        let handler = HeadOrders::around(handler);
+        let handler = SignalControls::wrap(handler);
         serve(listener, ServerLimits::default(), handler, stop).await;
     }
 
+    /// Runs engine steps in real time and wakes readers after each one.
     async fn batch_loop(self: Rc<Self>, stop: Stop) {
         let mut last = Instant::now();
         while !stop.is_set() {
             let took = self.model.borrow_mut().step();
-            compio::time::sleep(took.unwrap_or(IDLE_REST)).await;
+            compio::time::sleep(took.unwrap_or(IDLE_PAUSE)).await;
             self.model.borrow_mut().age(last.elapsed());
             last = Instant::now();
             if took.is_some() {
-                self.waiting.borrow_mut().clear();
+                self.wakers.borrow_mut().clear();
             }
         }
     }
 
+    /// Publishes load reports with a delay of `report_lag`.
     async fn report_loop(self: Rc<Self>, stop: Stop) {
         while !stop.is_set() {
             let report = self.model.borrow().load();
@@ -127,7 +132,7 @@
 
     async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<Body> {
         let path = req.uri().path().to_owned();
-        let query = Query::of(&req);
+        let query = Query::parse(&req);
         match (req.method().clone(), path.as_str()) {
             (Method::POST, "/v1/generate") => self.generate(req).await,
             (Method::GET, "/v1/load") => json(StatusCode::OK, &self.lagged_report()),
@@ -168,7 +173,7 @@
         if !self.model.borrow_mut().attach(id, &query.attempt) {
             return refuse(StatusCode::NOT_FOUND, "generation not known");
         }
-        self.waiting.borrow_mut().clear();
+        self.wakers.borrow_mut().clear();
         self.stream(id.to_owned(), query.attempt.clone(), query.from)
     }
 
@@ -178,11 +183,19 @@
         json(status, &EngineRefusal { error: "not cancelled".to_owned(), ran: true })
     }
 
+    /// Returns a response that streams a generation from token `from` on.
     fn stream(self: Rc<Self>, id: String, attempt: String, from: u64) -> Response<Body> {
         let (tx, body) = Body::stream(8);
         let last_sent = Instant::now();
-        let reader =
-            Reader { engine: self, id, attempt, next: from, seen_preemptions: 0, tx, last_sent };
+        let reader = StreamReader {
+            engine: self,
+            id,
+            attempt,
+            next: from,
+            seen_preemptions: 0,
+            tx,
+            last_sent,
+        };
         compio::runtime::spawn(reader.run()).detach();
         Response::new(body)
     }
@@ -191,8 +204,8 @@
         let Some(command) = read_json::<EngineCommand>(req).await else {
             return refuse(StatusCode::BAD_REQUEST, "command does not decode");
         };
-        let done = self.model.borrow_mut().command(&command);
-        match done {
+        let result = self.model.borrow_mut().command(&command);
+        match result {
             Ok(()) => json(StatusCode::OK, self.model.borrow().holdings()),
             Err((term, sequence)) => {
                 refuse(StatusCode::CONFLICT, &format!("fenced: newest is {term}.{sequence}"))
@@ -205,7 +218,7 @@
         json(StatusCode::OK, &leaving)
     }
 
-    /// Is taken away at short notice: leaves at once and ends when the notice is over.
+    /// Simulates the reclaim of the machine: leaves immediately and exits when the notice expires.
     async fn reclaim(&self, req: Request<Incoming>) -> Response<Body> {
         let Some(notice_ms) = read_json::<u64>(req).await else {
             return refuse(StatusCode::BAD_REQUEST, "expected the notice in milliseconds");
@@ -226,7 +239,7 @@
         json(StatusCode::OK, &fault)
     }
 
-    /// Everything generated, for callers that check each token.
+    /// Returns all known generations, against which tests check each token.
     fn ledger(&self) -> Response<Body> {
         let model = self.model.borrow();
         let rows: Vec<LedgerRow> = model
@@ -245,13 +258,13 @@
 
     fn lagged_report(&self) -> EngineLoad {
         let mut report = self.report.borrow().clone();
-        // Leaving is announced at once; only the load lags.
+        // Leaving is reported immediately; only the load is delayed.
         report.leaving = self.model.borrow().leaving;
         report
     }
 
-    /// Uses up one link of a fault that concerns a number of links.
-    fn link_fault(&self) -> Fault {
+    /// Returns the fault for a new stream and decrements the number of streams that it affects.
+    fn take_stream_fault(&self) -> Fault {
         let fault = self.fault.get();
         match fault {
             Fault::Stall { after, links } => {
@@ -266,69 +279,73 @@
         fault
     }
 
-    async fn wait_for_news(&self) {
+    /// Waits until the model may have changed, for at most [`HEARTBEAT_INTERVAL`].
+    async fn wait_for_update(&self) {
         let (tx, rx) = oneshot::channel();
-        self.waiting.borrow_mut().push(tx);
-        // Running out of time and being woken mean the same: look again.
-        let _ = compio::time::timeout(HEARTBEAT, rx).await;
+        self.wakers.borrow_mut().push(tx);
+        // The caller checks the model again after a wake-up and after a timeout alike.
+        let _ = compio::time::timeout(HEARTBEAT_INTERVAL, rx).await;
     }
 }
 
+/// Returns the fault for the streams after this one, or no fault if none is left.
 fn remaining(links: u32, with: impl FnOnce(u32) -> Fault) -> Fault {
     if links > 1 { with(links - 1) } else { Fault::None }
 }
 
-/// One generation as a test sees it.
+/// Record of a generation for tests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LedgerRow {
-    /// Its id.
+    /// Id of the generation.
     pub generation: String,
-    /// Its prompt.
+    /// Prompt of the request.
     pub prompt: String,
-    /// All its tokens.
+    /// Tokens produced so far.
     pub tokens: Vec<String>,
     /// Whether it was cancelled.
     pub cancelled: bool,
-    /// How often it was pushed aside.
+    /// Number of preemptions.
     pub preemptions: u64,
 }
 
-/// Sends the tokens of one generation to one reader.
-struct Reader {
+/// Streams the events of one generation to one client.
+struct StreamReader {
     engine: Rc<EngineServer>,
     id: String,
     attempt: String,
     next: u64,
     seen_preemptions: u64,
     tx: BodySender,
-    /// The batch wakes all readers at each step, so heartbeats go by the time of the last line.
+    /// Time of the last line. Every step wakes all readers, so wake-ups cannot time heartbeats.
     last_sent: Instant,
 }
 
-enum News {
+/// Next event to send to a client.
+enum Update {
     Tokens(Vec<String>),
     Preempted,
     Ended(EngineEvent),
     Nothing,
 }
 
-impl Reader {
+impl StreamReader {
+    /// Sends events until the generation ends, the client disconnects or a fault ends the stream.
     async fn run(mut self) {
-        let fault = self.engine.link_fault();
+        let fault = self.engine.take_stream_fault();
         loop {
-            let sent = match self.news() {
-                News::Tokens(tokens) => self.send_tokens(tokens, fault).await,
-                News::Preempted => {
+            let sent = match self.next_update() {
+                Update::Tokens(tokens) => self.send_tokens(tokens, fault).await,
+                Update::Preempted => {
                     let attempt = self.attempt.clone();
                     self.send(&EngineEvent::Preempted { attempt }).await
                 }
-                News::Ended(event) => {
+                Update::Ended(event) => {
                     self.send(&event).await;
                     break;
                 }
-                News::Nothing => {
-                    self.engine.wait_for_news().await;
-                    if self.last_sent.elapsed() < HEARTBEAT {
+                Update::Nothing => {
+                    self.engine.wait_for_update().await;
+                    if self.last_sent.elapsed() < HEARTBEAT_INTERVAL {
                         continue;
                     }
                     let attempt = self.attempt.clone();
@@ -342,37 +359,39 @@
         self.engine.model.borrow_mut().detach(&self.id, &self.attempt);
     }
 
-    fn news(&mut self) -> News {
+    /// Returns the next event of the generation.
+    fn next_update(&mut self) -> Update {
         let model = self.engine.model.borrow();
         let attempt = self.attempt.clone();
         let Some(generation) = model.generations.get(&self.id) else {
             let cause = "the generation was dropped".to_owned();
-            return News::Ended(EngineEvent::Failed { attempt, cause });
+            return Update::Ended(EngineEvent::Failed { attempt, cause });
         };
         if generation.reader.as_ref() != Some(&self.attempt) {
-            return News::Ended(EngineEvent::Superseded { attempt });
+            return Update::Ended(EngineEvent::Superseded { attempt });
         }
         let from = usize::try_from(self.next).unwrap_or(usize::MAX);
         if let Some(tokens) = generation.tokens.get(from..).filter(|tokens| !tokens.is_empty()) {
-            return News::Tokens(tokens.to_vec());
+            return Update::Tokens(tokens.to_vec());
         }
         match generation.status {
             GenerationStatus::Done(reason) => {
                 let tokens = generation.tokens.len() as u64;
-                News::Ended(EngineEvent::Done { attempt, tokens, reason })
+                Update::Ended(EngineEvent::Done { attempt, tokens, reason })
             }
             GenerationStatus::Cancelled => {
                 let cause = "the generation was cancelled".to_owned();
-                News::Ended(EngineEvent::Failed { attempt, cause })
+                Update::Ended(EngineEvent::Failed { attempt, cause })
             }
             _ if generation.preemptions > self.seen_preemptions => {
                 self.seen_preemptions = generation.preemptions;
-                News::Preempted
+                Update::Preempted
             }
-            _ => News::Nothing,
+            _ => Update::Nothing,
         }
     }
 
+    /// Sends tokens in order; returns whether the stream continues.
     async fn send_tokens(&mut self, tokens: Vec<String>, fault: Fault) -> bool {
         for text in tokens {
             let index = self.next;
@@ -384,13 +403,14 @@
         true
     }
 
+    /// Sends one token and applies the fault; returns whether the stream continues.
     async fn send_token(&mut self, index: u64, text: String, fault: Fault) -> bool {
         let event = self.token(index, text);
         match fault {
             Fault::Break { after, .. } if index >= after => false,
             Fault::Stall { after, .. } if index >= after => {
                 while !self.tx.is_closed() {
-                    compio::time::sleep(HEARTBEAT).await;
+                    compio::time::sleep(HEARTBEAT_INTERVAL).await;
                 }
                 false
             }
@@ -416,6 +436,7 @@
         }
     }
 
+    /// Returns the text of a token before it is produced.
     fn peek(&self, index: u64) -> Option<String> {
         let model = self.engine.model.borrow();
         let generation = model.generations.get(&self.id)?;
@@ -426,6 +447,7 @@
         EngineEvent::Token { attempt: self.attempt.clone(), index, text }
     }
 
+    /// Sends an event as a line of JSON; returns whether the client is still connected.
     async fn send(&mut self, event: &EngineEvent) -> bool {
         let mut line = serde_json::to_vec(event).unwrap_or_default();
         line.push(b'\n');
@@ -434,7 +456,7 @@
     }
 }
 
-/// Parameters of a request's query.
+/// Query parameters of a request; missing ones are empty or 0.
 struct Query {
     attempt: String,
     from: u64,
@@ -442,7 +464,7 @@
 }
 
 impl Query {
-    fn of<B>(req: &Request<B>) -> Self {
+    fn parse<B>(req: &Request<B>) -> Self {
         let find = |key: &str| query_value(req.uri(), key).unwrap_or("");
         Self {
             attempt: find("attempt").to_owned(),
@@ -453,7 +475,7 @@
 }
 
 async fn read_json<T: serde::de::DeserializeOwned>(req: Request<Incoming>) -> Option<T> {
-    let body = read_body(req.into_body(), MAX_BODY, BODY_LIMIT).await.ok()?;
+    let body = read_body(req.into_body(), MAX_BODY, BODY_TIMEOUT).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins for the outside: what hatchpitch talks to in tests and trials.
+//! Stand-ins for the model engines, application services and callers that hatchpitch communicates
+//! with. Used in tests and benchmarks and never shipped.
 //!
-//! They are small and readable on purpose, and speak the protocols that
-//! `docs/ENGINE-PROTOCOL.md` describes. None of them is ever shipped.
+//! They implement the protocols described in `docs/ENGINE-PROTOCOL.md` and are kept small and
+//! readable.
 
 pub mod app;
 pub mod caller;
 pub mod engine;
-pub mod heads;
+pub mod signals;
