--- a/crates/e2e/src/process.rs
+++ b/crates/e2e/src/process.rs
@@ -206,6 +206,6 @@
 fn find_binary(name: &str) -> anyhow::Result<PathBuf> {
     let exe = std::env::current_exe()?;
     let dirs = exe.ancestors().skip(1).take(3);
-    let found = dirs.map(|dir: &Path| dir.join(name)).find(|path| path.is_file());
-    found.with_context(|| format!("{name} is not built: run `cargo build --workspace` first"))
+    let binary = dirs.map(|dir: &Path| dir.join(name)).find(|path| path.is_file());
+    binary.with_context(|| format!("{name} is not built: run `cargo build --workspace` first"))
 }
--- a/crates/e2e/tests/cli.rs
+++ b/crates/e2e/tests/cli.rs
@@ -71,16 +71,16 @@
         "applying the same file again failed"
     );
 
-    let taken = hatchpitch(&fleet, &["apply", &path(&other)]);
-    assert_eq!(taken.0, 4);
-    assert!(taken.1.contains("was taken by root"), "{}", taken.1);
+    let conflict = hatchpitch(&fleet, &["apply", &path(&other)]);
+    assert_eq!(conflict.0, 4);
+    assert!(conflict.1.contains("was taken by root"), "{}", conflict.1);
     assert_eq!(hatchpitch(&fleet, &["apply", &path(&old)]).0, 4);
     assert_eq!(hatchpitch(&fleet, &["apply", &path(&invalid)]).0, 3);
 
     let got = json(&hatchpitch(&fleet, &["--output", "json", "get"]));
     assert!(got.as_array().unwrap().len() > 5);
-    let held = hatchpitch(&fleet, &["get", "--number", "2"]);
-    assert!(held.0 == 0 && held.1.contains("by root"), "{}", held.1);
+    let accepted = hatchpitch(&fleet, &["get", "--number", "2"]);
+    assert!(accepted.0 == 0 && accepted.1.contains("by root"), "{}", accepted.1);
     assert_eq!(hatchpitch(&fleet, &["get", "--number", "77"]).0, 1);
     let status = hatchpitch(&fleet, &["status"]);
     assert_eq!(status.0, 0);
@@ -100,8 +100,8 @@
     let unknown = order(&["begin", "nowhere"]);
     assert!(unknown.0 == 1 && unknown.1.contains("no failure domain"), "{}", unknown.1);
     for domain in &domains {
-        let begun = order(&["begin", domain, "--wait"]);
-        assert!(begun.0 == 0 && begun.1.contains("in force at every box"), "{}", begun.1);
+        let output = order(&["begin", domain, "--wait"]);
+        assert!(output.0 == 0 && output.1.contains("in force at every box"), "{}", output.1);
         assert_eq!(order(&["begin", domain]).0, 0, "beginning the evacuation again failed");
     }
     let listed = order(&["list"]).1;
@@ -136,8 +136,8 @@
     let started = Instant::now();
     let content = loop {
         caller.chat(at, MODEL, "poison len=3", |_| true).await?;
-        let held = json(&hatchpitch(&fleet, &["--output", "json", "quarantine", "list"]));
-        if let Some(content) = held[0]["content"].as_str() {
+        let list = json(&hatchpitch(&fleet, &["--output", "json", "quarantine", "list"]));
+        if let Some(content) = list[0]["content"].as_str() {
             break content.to_owned();
         }
         assert!(started.elapsed() < WAIT_TIMEOUT, "the request was not quarantined");
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/end_to_end.rs
@@ -10,9 +10,9 @@
     let fleet = TestFleet::start(FleetSpec::default()).await?;
     let caller = fleet.caller(0);
 
-    let found = caller.endpoints(fleet.entry_addrs[1]).await?;
-    assert!(!found.endpoints.is_empty());
-    let at = found.endpoints[0].addr;
+    let discovered = caller.endpoints(fleet.entry_addrs[1]).await?;
+    assert!(!discovered.endpoints.is_empty());
+    let at = discovered.endpoints[0].addr;
     assert!(fleet.entry_addrs.contains(&at));
 
     let answer = caller.chat(at, MODEL, "explain amortization len=40", |_| true).await?;
--- a/crates/e2e/tests/limits.rs
+++ b/crates/e2e/tests/limits.rs
@@ -97,8 +97,8 @@
         let statuses = run_load(LOAD, |at| call(&fleet, at, method.clone(), path)).await?;
         for (at, since) in fleet.app_addrs.iter().zip(since) {
             let arrivals: Vec<u64> = fleet.get_standin_json(*at, "/admin/arrivals").await?;
-            let begun = arrivals.iter().find(|at| **at > since).copied().unwrap_or(since);
-            let most = max_per_window(&arrivals, begun + SETTLED_MS);
+            let first = arrivals.iter().find(|at| **at > since).copied().unwrap_or(since);
+            let most = max_per_window(&arrivals, first + SETTLED_MS);
             println!("{path}: {most} within {WINDOW_MS} ms");
             assert!((8..=29).contains(&most), "{path}: {most} within {WINDOW_MS} ms");
         }
@@ -152,14 +152,14 @@
 /// Returns the largest number of requests per window at each engine, counted from [`SETTLED_MS`]
 /// after its first request later than `since`.
 async fn max_per_window_at_engines(fleet: &TestFleet, since: &[u64]) -> anyhow::Result<Vec<usize>> {
-    let mut found = Vec::new();
+    let mut counts = Vec::new();
     for (at, since) in fleet.engine_addrs.iter().zip(since) {
         let arrivals: Vec<u64> = fleet.get_standin_json(*at, "/admin/arrivals").await?;
-        let begun = arrivals.iter().find(|at| *at > since).copied().unwrap_or(*since);
-        found.push(max_per_window(&arrivals, begun + SETTLED_MS));
+        let first = arrivals.iter().find(|at| *at > since).copied().unwrap_or(*since);
+        counts.push(max_per_window(&arrivals, first + SETTLED_MS));
     }
-    println!("generations: {found:?} within {WINDOW_MS} ms");
-    Ok(found)
+    println!("generations: {counts:?} within {WINDOW_MS} ms");
+    Ok(counts)
 }
 
 /// Sets the rate limit of every engine; returns the time of the last request at each.
--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -208,8 +208,8 @@
     let started = Instant::now();
     for other in [fleet.entry_addrs[1], fleet.entry_addrs[2]] {
         loop {
-            let found = caller.endpoints(other).await?;
-            if found.endpoints.iter().all(|e| e.addr != leaving) {
+            let discovered = caller.endpoints(other).await?;
+            if discovered.endpoints.iter().all(|e| e.addr != leaving) {
                 break;
             }
             assert!(started.elapsed() < WAIT_TIMEOUT, "{leaving} is still listed");
@@ -318,7 +318,7 @@
         let known = answer.tokens.first().is_some_and(|first| {
             generations.iter().any(|row| row.tokens.first() == Some(&first.text))
         });
-        // The ledger of the killed engine is lost, so only the order of its tokens is checked.
+        // The ledger of the killed engine is lost, so only the indices of its tokens are checked.
         if known {
             check_tokens(answer, &generations);
         }
