--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -13,7 +13,7 @@
 use hatchpitch::membership::{MemberRecord, MemberStatus, Subject};
 use hatchpitch_e2e::fleet::MODEL;
 use hatchpitch_e2e::process::Usage;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use http::{HeaderMap, Method};
 
 use crate::report::{histogram, millis, print_table};
@@ -232,8 +232,8 @@
     text
 }
 
-fn fleet_shape(entry: usize) -> Shape {
-    Shape { control: 3, entry, engines: 2, apps: 0, ..Shape::default() }
+fn fleet_shape(entry: usize) -> FleetSpec {
+    FleetSpec { control: 3, entry, engines: 2, apps: 0, ..FleetSpec::default() }
 }
 
 /// Measures the idle cost of an entry process and of the control leader against the number of entry
@@ -367,7 +367,7 @@
 /// 1, 8 and 64 callers at once.
 async fn claims() -> anyhow::Result<()> {
     const RUN_TIME: Duration = Duration::from_secs(3);
-    let shape = Shape { control: 3, entry: 3, engines: 0, apps: 3, ..Shape::default() };
+    let shape = FleetSpec { control: 3, entry: 3, engines: 0, apps: 3, ..FleetSpec::default() };
     let fleet = TestFleet::start(shape).await?;
     let mut rows = Vec::new();
     for concurrency in [1_usize, 8, 64] {
@@ -446,13 +446,13 @@
 async fn tokens() -> anyhow::Result<()> {
     let mut rows = Vec::new();
     for length in [10_u64, 200] {
-        let shape = Shape {
+        let shape = FleetSpec {
             control: 1,
             entry: 1,
             engines: 4,
             apps: 0,
             engine_args: vec!["--memory".into(), "1000000".into()],
-            ..Shape::default()
+            ..FleetSpec::default()
         };
         let fleet = TestFleet::start(shape).await?;
         compio::time::sleep(SETTLE_TIME).await;
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -6,7 +6,7 @@
 use hatchpitch::engine::adapter;
 use hatchpitch::engine::{EngineEvent, GenerateRequest};
 use hatchpitch_e2e::fleet::MODEL;
-use hatchpitch_e2e::{Shape, TestFleet};
+use hatchpitch_e2e::{FleetSpec, TestFleet};
 use hatchpitch_net::Upstream;
 
 use crate::report::{histogram, millis, print_table};
@@ -27,7 +27,7 @@
 ///
 /// Returns an error if the fleet does not start or an answer is incomplete.
 pub async fn run(answers: usize) -> anyhow::Result<()> {
-    let shape = Shape { control: 1, entry: 3, engines: 1, apps: 0, ..Shape::default() };
+    let shape = FleetSpec { control: 1, entry: 3, engines: 1, apps: 0, ..FleetSpec::default() };
     let fleet = TestFleet::start(shape).await?;
     let (mut direct, mut proxied) = (Latencies::default(), Latencies::default());
     for i in 0..answers {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -243,7 +243,7 @@
     /// Makes writes of a box's control process fail as on a full disk, or succeed again.
     pub fn fill_disk(&self, index: usize, full: bool) {
         self.for_each_process(index, &[Role::Control], |managed| {
-            if let Err(err) = managed.process.bound_files(full.then_some(0)) {
+            if let Err(err) = managed.process.limit_file_size(full.then_some(0)) {
                 log::warn!("can't limit file sizes of {}: {err}", managed.process.name);
             }
         });
