--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -95,6 +95,7 @@
 const RESTS_SALT: u64 = 0x0072_6573_7473;
 /// Maximum number of upstreams that ask for a rest in a round.
 const MAX_RESTING: usize = 2;
+/// Range of rests, in milliseconds.
 const REST_MS: std::ops::Range<u64> = 800..4_000;
 
 /// A fault with its start time and duration.
--- a/crates/soak/src/verify.rs
+++ b/crates/soak/src/verify.rs
@@ -10,17 +10,19 @@
     RequestKind, RunStart,
 };
 
-/// Time from the first request that an instance received under a limit until the limit is enforced,
-/// and the window over which requests are counted. Both match the platform's checks.
+/// Time from the first request that an instance received under a limit until the limit is enforced.
+/// It matches the platform's own check.
 const LIMIT_GRACE: Duration = Duration::from_secs(3);
+/// Window over which requests are counted. It matches the platform's own check.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 /// Requests allowed per window: this multiple of the limit, plus [`LIMIT_SLACK`].
 const LIMIT_TOLERANCE: f64 = 1.5;
+/// Requests allowed per window beyond the multiple of the limit.
 const LIMIT_SLACK: f64 = 5.0;
 
-/// Time until a rest is enforced, and the number of requests that each box may still send during
-/// it.
+/// Time from the first rejected request of an instance until a rest is enforced.
 const REST_GRACE: Duration = Duration::from_millis(500);
+/// Requests that each box may still send during a rest.
 const REJECTED_PER_BOX: usize = 2;
 /// Additional requests allowed during a rest: a restarted box learns of the rest only from its
 /// first answers.
