--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -94,7 +94,8 @@
     /// List the requests that are refused for crashing upstreams, or release one.
     #[command(subcommand)]
     Quarantine(Quarantine),
-    /// Replace a control box that lost its disk. After success, losing another replica loses no data.
+    /// Replace a control box that lost its disk. After success, losing another replica loses no
+    /// data.
     Repair {
         /// Name of the control box, which must be running with an empty data folder.
         #[arg(long, value_name = "BOX")]
--- a/crates/hatchpitch/src/admission/gate.rs
+++ b/crates/hatchpitch/src/admission/gate.rs
@@ -1,5 +1,5 @@
-//! Asynchronous admission to the runners of one pool: wraps a [`PoolScheduler`] and wakes each waiting
-//! request through its own channel.
+//! Asynchronous admission to the runners of one pool: wraps a [`PoolScheduler`] and wakes each
+//! waiting request through its own channel.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/hatchpitch/src/grants/task.rs
+++ b/crates/hatchpitch/src/grants/task.rs
@@ -48,8 +48,8 @@
 /// Failed attempts to obtain a permit or slot before a request is restricted to upstreams without a
 /// rate limit, or refused: each attempt takes a round trip between boxes.
 const MAX_ATTEMPTS: usize = 3;
-/// Resting engines that a grant request excludes, which bounds the size of the message. If the owner
-/// grants a slot on another resting engine, the slot is released again.
+/// Resting engines that a grant request excludes, which bounds the size of the message. If the
+/// owner grants a slot on another resting engine, the slot is released again.
 const MAX_EXCLUDED_RESTING: usize = 64;
 /// Suggested retry delay of a request whose slots were all on upstreams that began to rest or
 /// leave in the meantime.
@@ -388,9 +388,9 @@
         want
     }
 
-    /// Obtains the limit permit for a slot whose owner knows of no rate limit of the engine, if this
-    /// box knows of one. An owner that has just restarted knows no limits and would admit without
-    /// bound until it is told of them.
+    /// Obtains the limit permit for a slot whose owner knows of no rate limit of the engine, if
+    /// this box knows of one. An owner that has just restarted knows no limits and would admit
+    /// without bound until it is told of them.
     async fn with_limit_permit(&self, slot: Slot) -> OwnerReply {
         match upstream_limits::obtain(&self.cx, &slot.runner, self.want.priority).await {
             Ok(()) => OwnerReply::Slot(Box::new(slot)),
--- a/crates/hatchpitch/src/logging.rs
+++ b/crates/hatchpitch/src/logging.rs
@@ -100,8 +100,8 @@
     }
 
     /// Writes the buffered line if that does not block. A line that cannot be written, for example
-    /// because the disk is full, is counted as dropped: reported as an error, it would terminate the task
-    /// that logs.
+    /// because the disk is full, is counted as dropped: reported as an error, it would terminate
+    /// the task that logs.
     fn flush(&mut self) -> io::Result<()> {
         let line = std::mem::take(&mut self.line);
         let fits = line.len() <= MAX_LINE_BYTES && self.is_writable();
--- a/crates/hatchpitch/src/moves/mover.rs
+++ b/crates/hatchpitch/src/moves/mover.rs
@@ -194,8 +194,8 @@
         upstream_signals::obtain_in_advance(&self.relay.cx, &self.source.runner).await
     }
 
-    /// Orders the source to copy the run to another runner. With `stop`, this is the final copy, for
-    /// which the source stops the run.
+    /// Orders the source to copy the run to another runner. With `stop`, this is the final copy,
+    /// for which the source stops the run.
     async fn copy(&self, to: SocketAddr, stop: bool) -> Result<CopyAnswer, CopyFailure> {
         let order = CopyOrder { request: self.req.id.clone(), to, stop };
         let upstream = self.relay.cx.upstream(self.source.addr);
@@ -212,7 +212,8 @@
         }
     }
 
-    /// Obtains a slot on a runner that is not shutting down, preferably in the failure domain of the source.
+    /// Obtains a slot on a runner that is not shutting down, preferably in the failure domain of
+    /// the source.
     async fn obtain_slot(&self) -> Result<Slot, String> {
         let cx = &self.relay.cx;
         let mut avoid: Vec<RunnerName> = {
--- a/crates/hatchpitch/src/moves/task.rs
+++ b/crates/hatchpitch/src/moves/task.rs
@@ -20,7 +20,8 @@
 const TURN_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which a waiting move polls for its turn: a tenth of the duration of a move.
 const TURN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which a move that has not got its turn is abandoned: the runner has shut down by then.
+/// Time after which a move that has not got its turn is abandoned: the runner has shut down by
+/// then.
 const TURN_WAIT_TIMEOUT: Duration = Duration::from_secs(6);
 /// Failed calls after which a move goes ahead without its owner's consent; together they take less
 /// than a second.
--- a/crates/hatchpitch/src/outcome.rs
+++ b/crates/hatchpitch/src/outcome.rs
@@ -72,7 +72,8 @@
 }
 
 impl Problem {
-    /// Creates a problem for an invalid request; it was not executed and a retry would fail as well.
+    /// Creates a problem for an invalid request; it was not executed and a retry would fail as
+    /// well.
     pub fn bad_request(message: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, "bad_request", message)
     }
--- a/crates/hatchpitch/src/upstream_limits/bucket.rs
+++ b/crates/hatchpitch/src/upstream_limits/bucket.rs
@@ -1,17 +1,17 @@
 //! Token bucket with the permits of one upstream at its decider, without I/O.
 //!
-//! It handles these load patterns: many boxes that each stay below the limit but together exceed it;
-//! more requests than permits, with urgent ones among them, for as long as the upstream is
-//! overloaded; and boxes that join and leave, so that the decider changes. A new bucket starts empty,
-//! so that a new decider never adds to the permits that the previous one granted.
+//! It handles these load patterns: many boxes that each stay below the limit but together exceed
+//! it; more requests than permits, with urgent ones among them, for as long as the upstream is
+//! overloaded; and boxes that join and leave, so that the decider changes. A new bucket starts
+//! empty, so that a new decider never adds to the permits that the previous one granted.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::ids::Priority;
 
-/// Capacity of the bucket, as time at its rate. Arrivals are uneven, but permits that are unused for
-/// 500 ms are dropped rather than sent to an overloaded upstream as a burst.
+/// Capacity of the bucket, as time at its rate. Arrivals are uneven, but permits that are unused
+/// for 500 ms are dropped rather than sent to an overloaded upstream as a burst.
 const BURST: Duration = Duration::from_millis(500);
 /// Smallest capacity, in permits: one for any request, and one reserved for a more urgent request.
 const MIN_CAPACITY: f64 = 2.0;
@@ -22,12 +22,12 @@
 const RESERVED_FRACTION: f64 = 0.5;
 /// Time after its last request for which a priority counts as active.
 const DEMAND_TTL: Duration = Duration::from_secs(2);
-/// Time without a permit, counted in permits at the current rate, after which a less urgent priority
-/// may use reserved permits, so that no priority starves.
+/// Time without a permit, counted in permits at the current rate, after which a less urgent
+/// priority may use reserved permits, so that no priority starves.
 const STARVED_AFTER: f64 = 8.0;
 /// Maximum debt of the bucket, as time at its rate, for requests that cannot be delayed, such as a
-/// run that was stopped to be moved. It is a quarter of the window over which upstreams are expected
-/// to count requests.
+/// run that was stopped to be moved. It is a quarter of the window over which upstreams are
+/// expected to count requests.
 const MAX_DEBT: Duration = Duration::from_secs(1);
 /// Window over which denied boxes are counted. A box is dropped after half of it to all of it.
 const DENIED_WINDOW: Duration = Duration::from_secs(2);
@@ -48,8 +48,8 @@
     granted_at: Instant,
 }
 
-/// Approximate set of the boxes that were denied a permit recently, in constant space: each box maps
-/// to one of 64 bits, and two bitmaps cover successive half windows.
+/// Approximate set of the boxes that were denied a permit recently, in constant space: each box
+/// maps to one of 64 bits, and two bitmaps cover successive half windows.
 #[derive(Debug, Clone, Copy)]
 struct DeniedBoxes {
     current: u64,
@@ -127,7 +127,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the time until a permit is available for this priority, unless another request takes it.
+    /// Returns the time until a permit is available for this priority, unless another request takes
+    /// it.
     pub fn take(&mut self, priority: Priority, now: Instant) -> Result<(), Duration> {
         self.advance(now);
         self.record_demand(priority, now);
@@ -165,15 +166,16 @@
         Ok(())
     }
 
-    /// Returns the time until a permit is available for this priority, unless another request takes it.
+    /// Returns the time until a permit is available for this priority, unless another request takes
+    /// it.
     pub fn opens_in(&self, priority: Priority, now: Instant) -> Duration {
         let missing = self.needed(priority, now) - self.level_at(now);
         seconds(missing / self.rate)
     }
 
-    /// Records that a box was denied a permit; returns the time, beyond that to the next permit, over
-    /// which its retry should be spread. It grows with the number of denied boxes, so that the total
-    /// rate of retries stays about constant.
+    /// Records that a box was denied a permit; returns the time, beyond that to the next permit,
+    /// over which its retry should be spread. It grows with the number of denied boxes, so that the
+    /// total rate of retries stays about constant.
     pub fn record_denial(&mut self, asker: u64, now: Instant) -> Duration {
         self.denied.insert(asker, now);
         let others = self.denied.count().saturating_sub(1);
@@ -195,8 +197,8 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Returns the level that a request needs to get a permit: one, plus the permits reserved for more
-    /// urgent priorities.
+    /// Returns the level that a request needs to get a permit: one, plus the permits reserved for
+    /// more urgent priorities.
     fn needed(&self, priority: Priority, now: Instant) -> f64 {
         let is_active =
             |demand: &Demand| now.saturating_duration_since(demand.requested_at) < DEMAND_TTL;
--- a/crates/hatchpitch/src/upstream_limits/observation.rs
+++ b/crates/hatchpitch/src/upstream_limits/observation.rs
@@ -90,9 +90,9 @@
 }
 
 impl LimitObservation {
-    /// Returns whether this observation replaces `known`. If their times overlap, the stricter limit
-    /// wins, so that a response from before a limit was set never ends it. The next response resolves
-    /// the ambiguity.
+    /// Returns whether this observation replaces `known`. If their times overlap, the stricter
+    /// limit wins, so that a response from before a limit was set never ends it. The next response
+    /// resolves the ambiguity.
     pub fn supersedes(&self, known: &Self) -> bool {
         if self.sent >= known.received {
             return true;
--- a/crates/hatchpitch/src/upstream_limits/table.rs
+++ b/crates/hatchpitch/src/upstream_limits/table.rs
@@ -1,10 +1,10 @@
 //! Rate limits known to one box and the permits that it may use under them, without I/O.
 //!
 //! For each upstream one of the serving boxes, the decider, grants the permits. It sees the demand
-//! of all boxes, so capacity goes to the boxes that need it and none stays unused. While the decider
-//! does not answer, each other box sends at a small fallback rate. While boxes are lost, the decider
-//! grants fewer permits by their share, because they may still be sending on the other side of a
-//! partition.
+//! of all boxes, so capacity goes to the boxes that need it and none stays unused. While the
+//! decider does not answer, each other box sends at a small fallback rate. While boxes are lost,
+//! the decider grants fewer permits by their share, because they may still be sending on the other
+//! side of a partition.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,12 +17,12 @@
 use super::observation::{LimitObservation, RateLimit};
 use crate::ids::{Priority, RunnerName};
 
-/// Fraction of a limit that all boxes together use without permits while the decider does not answer
-/// them. It is small compared with what the decider may grant meanwhile, so that the sum stays near
-/// the limit.
+/// Fraction of a limit that all boxes together use without permits while the decider does not
+/// answer them. It is small compared with what the decider may grant meanwhile, so that the sum
+/// stays near the limit.
 const FALLBACK_FRACTION: f64 = 0.25;
-/// Interval between permit requests to a decider that does not answer. Another box takes over within
-/// about 3 s, and each permit request delays a caller's request by up to its timeout.
+/// Interval between permit requests to a decider that does not answer. Another box takes over
+/// within about 3 s, and each permit request delays a caller's request by up to its timeout.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(500);
 /// Delay before the next permit request after a box answered that it is not the decider. Membership
 /// changes reach all boxes within a few such intervals.
@@ -91,8 +91,8 @@
 pub(super) enum Permits {
     /// This box grants them.
     Local(Bucket),
-    /// Another box grants them. For each listed priority and those below it, none is available until
-    /// the given time.
+    /// Another box grants them. For each listed priority and those below it, none is available
+    /// until the given time.
     Remote(BTreeMap<Priority, Instant>),
     /// The decider does not answer. The bucket holds the fallback permits, and the decider is asked
     /// again at the given time.
@@ -132,8 +132,8 @@
 }
 
 impl LimitTable {
-    /// Applies an observation of an upstream's limit; returns the change, if any. The caller sets the
-    /// decider of a new entry with [`LimitTable::set_decider`].
+    /// Applies an observation of an upstream's limit; returns the change, if any. The caller sets
+    /// the decider of a new entry with [`LimitTable::set_decider`].
     pub fn observe(
         &mut self,
         upstream: &str,
@@ -236,9 +236,9 @@
         }
     }
 
-    /// Returns the decider if a limit observed in a response has to be reported to it now, and records
-    /// the report. The owner of an engine gets no permit requests for it, so it learns of a limit and
-    /// of its end from these reports.
+    /// Returns the decider if a limit observed in a response has to be reported to it now, and
+    /// records the report. The owner of an engine gets no permit requests for it, so it learns of a
+    /// limit and of its end from these reports.
     pub fn take_report(&mut self, upstream: &str, now: Instant) -> Option<SocketAddr> {
         let entry = self.entries.get_mut(upstream)?;
         let decider = entry.decider.filter(|decider| !decider.is_own)?;
--- a/crates/hatchpitch/tests/overload/engine.rs
+++ b/crates/hatchpitch/tests/overload/engine.rs
@@ -1,6 +1,6 @@
 //! Model of an engine, limited to what affects placement: prompts are prefilled one after another,
-//! tokens are decoded in steps that take longer with a larger batch, and the last running generation
-//! is preempted when the KV memory is full.
+//! tokens are decoded in steps that take longer with a larger batch, and the last running
+//! generation is preempted when the KV memory is full.
 
 /// Prompt tokens prefilled per millisecond while nothing is decoded.
 const PREFILL_PER_MS: f64 = 14.0;
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Preempts the last running generation in `jobs` while the memory is over its limit. A preempted
-    /// generation queues again and its prompt is prefilled anew.
+    /// Preempts the last running generation in `jobs` while the memory is over its limit. A
+    /// preempted generation queues again and its prompt is prefilled anew.
     fn preempt(&mut self, report: &mut TickReport) {
         while self.used() > self.memory {
             let Some(at) = self.jobs.iter().rposition(|job| job.runs) else { return };
--- a/crates/hatchpitch/tests/overload/fleet.rs
+++ b/crates/hatchpitch/tests/overload/fleet.rs
@@ -29,8 +29,8 @@
 pub enum Policy {
     /// The assignment by shards that the product uses.
     Sharded,
-    /// Baseline: each engine has its own owner, and a request asks four of them, those in its failure
-    /// domain first.
+    /// Baseline: each engine has its own owner, and a request asks four of them, those in its
+    /// failure domain first.
     OwnerPerEngine,
 }
 
@@ -126,8 +126,8 @@
 }
 
 impl Fleet {
-    /// Creates `engines` engines, distributed over `domains` failure domains, with speeds taken from
-    /// `speeds` in turn.
+    /// Creates `engines` engines, distributed over `domains` failure domains, with speeds taken
+    /// from `speeds` in turn.
     pub fn new(
         policy: Policy,
         domains: usize,
--- a/crates/hatchpitch/tests/overload/loads.rs
+++ b/crates/hatchpitch/tests/overload/loads.rs
@@ -1,4 +1,5 @@
-//! Random loads with a seed: long and short generations, spread over failure domains and workspaces.
+//! Random loads with a seed: long and short generations, spread over failure domains and
+//! workspaces.
 
 use std::ops::Range;
 
@@ -25,8 +26,8 @@
     length_ms: u64,
     /// Arrival rate relative to the standard rate.
     pub rate: f64,
-    /// A period in milliseconds in which requests from the listed failure domains arrive at boxes of
-    /// another one.
+    /// A period in milliseconds in which requests from the listed failure domains arrive at boxes
+    /// of another one.
     pub redirected: Option<(Range<u64>, Vec<usize>, usize)>,
     /// A period in milliseconds, and the factor that the arrival rate is multiplied by in it.
     pub burst: Option<(Range<u64>, f64)>,
--- a/crates/hatchpitch/tests/upstream_limits/fleet.rs
+++ b/crates/hatchpitch/tests/upstream_limits/fleet.rs
@@ -1,5 +1,5 @@
-//! Simulates boxes that send requests to one upstream under their tables of limits, without sockets.
-//! Messages take time, and boxes can start, die, freeze and lose contact with each other.
+//! Simulates boxes that send requests to one upstream under their tables of limits, without
+//! sockets. Messages take time, and boxes can start, die, freeze and lose contact with each other.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
--- a/crates/hatchpitch/tests/upstream_limits/main.rs
+++ b/crates/hatchpitch/tests/upstream_limits/main.rs
@@ -32,8 +32,8 @@
     vec![(per_second / BOXES as f64, priority); BOXES]
 }
 
-/// Asserts that no window exceeds [`max_requests`] and that each uses about 80 % of the limit, so that
-/// no permits stay unused while requests are refused.
+/// Asserts that no window exceeds [`max_requests`] and that each uses about 80 % of the limit, so
+/// that no permits stay unused while requests are refused.
 fn assert_limit_kept_and_used(fleet: &Fleet, limit: f64, since: u64, case: &str) {
     let (busiest, idlest) = fleet.window_extremes(WINDOW, since);
     assert!(busiest <= max_requests(limit), "{case}: {busiest}, allowed {}", max_requests(limit));
--- a/crates/net/src/keys.rs
+++ b/crates/net/src/keys.rs
@@ -50,8 +50,8 @@
         (!keys.is_empty() && !has_duplicates).then_some(Self(keys))
     }
 
-    /// Signs `parts` for `purpose` and returns `key-id.hex`. The purpose is part of the signed data,
-    /// so a signature is valid for one purpose only.
+    /// Signs `parts` for `purpose` and returns `key-id.hex`. The purpose is part of the signed
+    /// data, so a signature is valid for one purpose only.
     pub fn sign(&self, purpose: &str, parts: &[&[u8]]) -> String {
         let key = &self.0[0];
         format!("{}.{}", key.id, to_hex(&mac(key, purpose, parts).finalize().into_bytes()))
--- a/crates/net/tests/keys.rs
+++ b/crates/net/tests/keys.rs
@@ -11,7 +11,8 @@
 
 #[test]
 fn boxes_verify_each_other_during_a_key_rotation() {
-    // Each step is rolled out box by box, so boxes one step apart must accept each other's messages.
+    // Each step is rolled out box by box, so boxes one step apart must accept each other's
+    // messages.
     let steps = [ring(&["old"]), ring(&["old", "new"]), ring(&["new", "old"]), ring(&["new"])];
     for pair in steps.windows(2) {
         for (a, b) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
--- a/crates/standins/src/engine/model.rs
+++ b/crates/standins/src/engine/model.rs
@@ -249,8 +249,8 @@
         }
     }
 
-    /// Cancels a generation unless an attempt other than `attempt` is its reader; returns whether it
-    /// is cancelled or had already finished.
+    /// Cancels a generation unless an attempt other than `attempt` is its reader; returns whether
+    /// it is cancelled or had already finished.
     pub fn cancel(&mut self, id: &str, attempt: &str) -> bool {
         let Some(generation) = self.generations.get_mut(id) else { return false };
         if generation.reader.as_deref().is_some_and(|reader| reader != attempt) {
@@ -287,8 +287,8 @@
         Some(self.cfg.step_base + self.cfg.step_each * batch + prefill)
     }
 
-    /// Advances the idle time of generations that are finished or have no reader, cancels those idle
-    /// for too long and drops finished ones after their retention time.
+    /// Advances the idle time of generations that are finished or have no reader, cancels those
+    /// idle for too long and drops finished ones after their retention time.
     pub fn age(&mut self, by: Duration) {
         let (orphan, keep) = (self.cfg.orphan_limit, self.cfg.keep_finished);
         for generation in self.generations.values_mut() {
@@ -337,8 +337,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the newest fence, as term and sequence, if the engine checks fences and the command's
-    /// is older.
+    /// Returns the newest fence, as term and sequence, if the engine checks fences and the
+    /// command's is older.
     pub fn command(&mut self, command: &EngineCommand) -> Result<(), (u64, u64)> {
         let newest = (self.holdings.term, self.holdings.sequence);
         let fence = (command.term, command.sequence);
@@ -481,7 +481,8 @@
     }
     let digest = Sha256::digest(format!("length/{}/{:?}", req.prompt, req.seed).as_bytes());
     let uniform = f64::from(u16::from_be_bytes([digest[0], digest[1]])) / 65_536.0;
-    // Pareto distribution with shape 1.2 and minimum 8: many short outputs and a few very long ones.
+    // Pareto distribution with shape 1.2 and minimum 8: many short outputs and a few very long
+    // ones.
     let length = 8.0 / (1.0 - uniform).powf(1.0 / 1.2);
     (length as u64).clamp(1, req.max_tokens)
 }
--- a/crates/standins/src/signals.rs
+++ b/crates/standins/src/signals.rs
@@ -32,8 +32,8 @@
 }
 
 impl SignalControls {
-    /// Wraps a handler with the control paths `/admin/limit`, `/admin/rest`, `/admin/say-leaving` and
-    /// `/admin/arrivals`.
+    /// Wraps a handler with the control paths `/admin/limit`, `/admin/rest`, `/admin/say-leaving`
+    /// and `/admin/arrivals`.
     ///
     /// The signals apply to all requests of the handler except those below `/admin/`.
     pub fn wrap(handler: Handler) -> Handler {
