--- a/crates/hatchpitch/src/entry/callers.rs
+++ b/crates/hatchpitch/src/entry/callers.rs
@@ -190,7 +190,7 @@
     text_response(StatusCode::OK, cx.metrics.render())
 }
 
-/// Tells load balancers whether the box accepts new work.
+/// Answers with 200 while the box accepts new work.
 fn health(cx: &EntryCx) -> Response<Body> {
     if cx.takes_work() {
         return text_response(StatusCode::OK, "ok\n");
